--- a/balancer.go
+++ b/balancer.go
@@ -188,9 +188,9 @@
 		byID: map[uint32]*server{}, requests: map[uint32]*request{},
 	}
 	b.configure(set)
-	if set.ListOnRequest {
+	if set.PollList {
 		b.askRounds = askRound
-		b.askAt = now + b.rng.Float64()*askSpread*set.Safety.AskEvery
+		b.askAt = now + b.rng.Float64()*askSpread*set.Safety.PollInterval
 	}
 	b.limit = concurrencyLimit{least: math.Inf(1), leastFrom: now + 2*b.silence}
 	return b, nil
@@ -200,19 +200,19 @@
 func (b *Balancer) configure(set Settings) {
 	old, f := *b, &b.set.Safety
 	b.set, b.classes, b.tenants, b.silence, b.meanAim = set, nil, nil, 0, 0
-	if b.budgetTold = f.BudgetWindow > 0; !b.budgetTold {
-		f.BudgetFree, f.BudgetShare, f.BudgetWindow = repeatFree, repeatShare, repeatWindow
+	if b.budgetTold = f.RetryBudgetWindow > 0; !b.budgetTold {
+		f.RetryBudgetMin, f.RetryBudgetRatio, f.RetryBudgetWindow = repeatFree, repeatShare, repeatWindow
 	}
 	n := float64(len(set.Classes))
 	for _, c := range set.Classes {
-		state := classState{Class: c, threshold: c.Aim * thresholdPart, share: 1 / n, served: 1}
+		state := classState{Class: c, threshold: c.TargetLatency * thresholdPart, share: 1 / n, served: 1}
 		state.threshold *= float64(set.Stages-set.Stage) / float64(set.Stages) // the tiers still ahead
 		b.classes = append(b.classes, state)
 		b.silence = max(b.silence, state.threshold)
-		b.meanAim += c.Aim / n
+		b.meanAim += c.TargetLatency / n
 	}
-	cheap := set.ProbePrice*probeCount*float64(set.Stages) <= probePrice
-	b.probing = set.Limits.Probes && set.HeldField > 0 && cheap
+	cheap := set.ProbeCost*probeCount*float64(set.Stages) <= probePrice
+	b.probing = set.Limits.Probing && set.LoadReportField > 0 && cheap
 	for _, t := range set.Tenants {
 		rate := t.Quota / float64(set.Copies)
 		b.tenants = append(b.tenants, stats.NewTokenBucket(b.now, rate, max(rate*quotaBurst/1000, 1)))
@@ -222,12 +222,12 @@
 
 // Handle takes one event and appends the actions that answer it.
 func (b *Balancer) Handle(now float64, ev *Event, actions []Action) []Action {
-	clean := ev.cleaned()
-	b.now, b.acts, ev = later(b.now, now), actions, &clean
+	clean := ev.sanitized()
+	b.now, b.acts, ev = advanceClock(b.now, now), actions, &clean
 	switch ev.Kind {
 	case EvRequest:
 		b.arrive(ev)
-	case EvFirst:
+	case EvResponseStarted:
 		b.first(ev)
 	case EvOutcome:
 		b.outcome(ev)
@@ -235,10 +235,10 @@
 		if q := b.requests[ev.Request]; q != nil && int(ev.Attempt) < len(q.attempts) {
 			b.connects(&q.attempts[ev.Attempt], ev.Kind == EvConnecting)
 		}
-	case EvGone:
+	case EvClientGone:
 		if q := b.requests[ev.Request]; q != nil {
 			for i := range q.attempts { // servers whose work stops must do none for nobody
-				if q.attempts[i].open && b.set.Limits.Cancel && !q.streaming {
+				if q.attempts[i].open && b.set.Limits.CancelAttempts && !q.streaming {
 					b.acts = append(b.acts, Action{Kind: ActCancel, Request: q.id, Attempt: uint16(i)})
 				}
 			}
@@ -246,13 +246,13 @@
 		}
 	case EvList:
 		b.list(ev)
-	case EvProbe:
+	case EvProbeResult:
 		if s := b.byID[ev.Server]; s != nil && s.asked {
 			s.asked = false
 			b.asked--
 			b.closeIdle(s)
-			if f := b.set.HeldField; ev.Outcome == OK && f > 0 && f <= min(ev.Values, len(ev.Report)) {
-				s.held, s.heldAt = float64(ev.Report[f-1]), b.now
+			if f := b.set.LoadReportField; ev.Outcome == OK && f > 0 && f <= min(ev.LoadReportLen, len(ev.LoadReport)) {
+				s.held, s.heldAt = float64(ev.LoadReport[f-1]), b.now
 				b.heldMean += latencyGain * (s.held - b.heldMean)
 			}
 		}
@@ -276,10 +276,10 @@
 		return
 	}
 	q := b.newRequest()
-	q.id, q.class, q.tenant, q.due = ev.Request, ev.Class, ev.Tenant, ev.Due
+	q.id, q.class, q.tenant, q.due = ev.Request, ev.Class, ev.Tenant, ev.Deadline
 	c := &b.classes[q.class]
-	q.aimAt = b.now + min(c.GiveUp, c.Aim+c.AimStretch*ev.Hint)
-	if b.set.Stage > 0 && c.LateWorth == 0 {
+	q.aimAt = b.now + min(c.Timeout, c.TargetLatency+c.TargetWorkFactor*ev.WorkHint)
+	if b.set.Stage > 0 && c.LateValue == 0 {
 		q.due = min(q.due, q.aimAt) // past the aim its caller's answer is worth nothing, but holds a slot
 	}
 	b.requests[q.id] = q
@@ -289,12 +289,12 @@
 	b.classes[q.class].share += servedGain
 	b.arrivals.Add(b.now, 1, demandTime)
 	b.came++
-	b.taken.Since(b.now - b.set.Safety.BudgetWindow)
+	b.taken.CountSince(b.now - b.set.Safety.RetryBudgetWindow)
 	b.taken.Add(b.now)
 	// queue_length: as many calls as were sent of late in the longest wait; unbounded with no server.
 	over := b.overQuota(q)
 	bound := (1 + queuePart*b.meanAim/1000*b.sends.PerSecond) * b.valueShare(q, over)
-	full, most := len(b.live) > 0 && len(b.queue) > int(bound), b.set.Limits.MaxOpen
+	full, most := len(b.live) > 0 && len(b.queue) > int(bound), b.set.Limits.MaxOpenRequests
 	full = full || over && b.limit.initial > heldLeast && float64(b.out) >= overQuotaPart*b.limit.most
 	if full || most > 0 && len(b.requests) > most {
 		b.end(q)
@@ -341,7 +341,7 @@
 	}
 	share := b.value(int(q.class)) / max(best, 1e-9)
 	if over {
-		share *= b.set.OverShareWorth
+		share *= b.set.OverQuotaValue
 	}
 	return share
 }
@@ -350,16 +350,16 @@
 // measured. Where the goal counts the worst-served class by itself, a call of that class adds to that too.
 func (b *Balancer) value(class int) float64 {
 	c := &b.classes[class]
-	worth := c.Worth
+	worth := c.Value
 	if b.set.Stage == 0 && b.worstServed() == class {
 		mean := 0.0
 		for i := range b.set.Classes {
-			mean += b.classes[i].share * b.classes[i].Worth
+			mean += b.classes[i].share * b.classes[i].Value
 		}
-		worth += b.set.WorstClass * mean / max(c.share, latencyGain)
+		worth += b.set.WorstClassWeight * mean / max(c.share, latencyGain)
 	}
-	if b.set.WorthByWork || c.latency == 0 {
-		return worth / c.Aim
+	if b.set.ValueByWork || c.latency == 0 {
+		return worth / c.TargetLatency
 	}
 	return worth / c.latency
 }
@@ -448,7 +448,7 @@
 	if b.set.Stage == 0 {
 		until = min(until, q.aimAt)
 	}
-	return until - min(b.classes[q.class].latency, thresholdPart*b.classes[q.class].Aim)
+	return until - min(b.classes[q.class].latency, thresholdPart*b.classes[q.class].TargetLatency)
 }
 
 // choose returns the server with most credit left that the call may go to, or nil.
@@ -523,7 +523,7 @@
 // linked tells whether a call finds an open connection there, as far as known.
 func (b *Balancer) linked(s *server) bool {
 	l := &b.set.Limits
-	return s.linked && s.out < max(l.Streams, 1) && (l.ConnIdle <= 0 || b.now-s.heard < l.ConnIdle)
+	return s.linked && s.out < max(l.StreamsPerConn, 1) && (l.ConnIdleTimeout <= 0 || b.now-s.heard < l.ConnIdleTimeout)
 }
 
 // told tells whether what a server holds was heard just now.
@@ -551,9 +551,9 @@
 	if wait := b.tryTimeout(q, s); wait > 0 {
 		b.setHedge(hedgeTimer{b.now + wait, q.id, uint16(len(q.attempts) - 1)})
 	}
-	act := Action{Kind: ActSend, Request: q.id, Server: s.Server, Until: q.due}
+	act := Action{Kind: ActSend, Request: q.id, Server: s.Server, Deadline: q.due}
 	if c := &b.classes[q.class]; q.mayRun && c.Effect == Keyed {
-		act.Whole = q.firstRun + c.Window // a slow connection must not carry a repeat past it
+		act.LastByteBy = q.firstRun + c.DedupWindow // a slow connection must not carry a repeat past it
 	}
 	b.acts = append(b.acts, act)
 	return true
@@ -619,18 +619,18 @@
 // end is the one way to a final answer of our own: refused where a repeat is harmless, else failed.
 func (b *Balancer) end(q *request) {
 	c := &b.classes[q.class]
-	harmless := c.Effect == Safe || q.open == 0 && !q.mayRun || c.Effect == Keyed && c.Group == GroupAll
+	harmless := c.Effect == Safe || q.open == 0 && !q.mayRun || c.Effect == Keyed && c.Scope == ScopeAll
 	kind := ActFail
 	if harmless {
 		kind = ActRefuse
 	}
-	b.acts = append(b.acts, Action{Kind: kind, Request: q.id, After: b.set.Limits.ComeBack()})
+	b.acts = append(b.acts, Action{Kind: kind, Request: q.id, Delay: b.set.Limits.RetryAfter()})
 	b.forget(q)
 }
 
-// ComeBack is the time told with a refusal: none where clients are not told, and no longer than they wait.
-func (l *Limits) ComeBack() float64 {
-	if !l.RetryAfter {
+// RetryAfter is the time told with a refusal: none where clients are not told, and no longer than they wait.
+func (l *Limits) RetryAfter() float64 {
+	if !l.SendRetryAfter {
 		return 0
 	}
 	return min(comeBack, cmp.Or(l.MaxRetryAfter, comeBack))
@@ -671,9 +671,9 @@
 		q.streaming, q.attempts[ev.Attempt].streams = true, true
 		q.attempts[ev.Attempt].server.streams++
 		b.heard(q.attempts[ev.Attempt].server)
-		b.learn(q.attempts[ev.Attempt].server, int(q.class), OK, ev.Took)
+		b.learn(q.attempts[ev.Attempt].server, int(q.class), OK, ev.Elapsed)
 		if b.set.Stage == 0 {
-			b.limit.observe(b.now, ev.Took/b.classes[q.class].threshold)
+			b.limit.observe(b.now, ev.Elapsed/b.classes[q.class].threshold)
 		}
 	}
 }
@@ -692,7 +692,7 @@
 		a.server.streams--
 	}
 	switch ev.Outcome {
-	case OK, Error, Full, Reset:
+	case OK, Error, Rejected, Reset:
 		b.heard(a.server)
 	}
 	b.closeIdle(a.server)
@@ -701,21 +701,21 @@
 		ev.Outcome = Timeout
 	}
 	if !q.streaming {
-		b.learn(a.server, int(q.class), ev.Outcome, ev.Took)
-		if ev.Outcome == OK && !ev.Fresh && b.set.Stage == 0 {
-			b.limit.observe(b.now, cmp.Or(ev.Service, ev.Took)/b.classes[q.class].threshold)
+		b.learn(a.server, int(q.class), ev.Outcome, ev.Elapsed)
+		if ev.Outcome == OK && !ev.NewConnection && b.set.Stage == 0 {
+			b.limit.observe(b.now, cmp.Or(ev.ServiceTime, ev.Elapsed)/b.classes[q.class].threshold)
 		}
 	}
 	if b.probing && ev.Outcome == OK && a.held >= 1 {
-		b.turn += max(latencyGain, 1/float64(b.pooled)) * (ev.Took/a.held - b.turn)
+		b.turn += max(latencyGain, 1/float64(b.pooled)) * (ev.Elapsed/a.held - b.turn)
 	}
-	neverRan := ev.Outcome == Full || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
+	neverRan := ev.Outcome == Rejected || ev.Outcome == ConnectFailed || ev.Outcome == NotSent
 	if !neverRan && !q.mayRun { // attempts follow each other, so the first that may have run is the earliest
 		q.mayRun, q.firstRun = true, a.sentAt
 	}
 	q.inTime = q.inTime || ev.Outcome == OK && b.now <= q.aimAt
 	switch {
-	case q.ended || ev.Done || ev.Outcome == OK:
+	case q.ended || ev.RequestDone || ev.Outcome == OK:
 		b.forget(q)
 	case b.now >= b.lastStart(q):
 		b.end(q)
@@ -744,16 +744,16 @@
 		b.tierLatency += max(latencyGain, 1/float64(b.pooled+1)) * (min(ratio, failRatio) - b.tierLatency)
 	}
 	s.linked = out == OK || s.linked && out != ConnectFailed
-	b.connLost.Note(out == ConnectFailed, latencyGain)
+	b.connLost.Observe(out == ConnectFailed, latencyGain)
 	sm := stats.Sample{At: b.now, Value: ratio}
 	s.samples[s.count%ringSize] = sm
 	s.count++
-	if (out == OK || out == Full) && !s.ejected { // others tell of one server, not of the load
+	if (out == OK || out == Rejected) && !s.ejected { // others tell of one server, not of the load
 		b.pool[b.pooled%poolSize] = sm
 		b.pooled++
 	}
 	if !s.ejected {
-		b.failing.Note(out != OK && out != Full, latencyGain)
+		b.failing.Observe(out != OK && out != Rejected, latencyGain)
 	}
 	if ratio <= 1 {
 		s.good++
@@ -789,7 +789,7 @@
 
 // demand is the calls that came so far, each counted over demandTime: a burst reaches cold servers late.
 func (b *Balancer) demand() float64 {
-	return b.came - b.arrivals.PerSecond*math.Exp((b.arrivals.At-b.now)/demandTime)*demandTime/1000
+	return b.came - b.arrivals.PerSecond*math.Exp((b.arrivals.UpdatedAt-b.now)/demandTime)*demandTime/1000
 }
 
 // loadOf is the load a server is given now, in calls a second of this copy.
@@ -803,15 +803,15 @@
 	}
 	if s.cold {
 		age := b.now - s.Started
-		if age < b.set.Safety.Ramp {
-			from, share := b.set.Safety.ColdFrom, b.arrivals.PerSecond/float64(max(len(b.live), 1))
+		if age < b.set.Safety.RampTime {
+			from, share := b.set.Safety.ColdCapacity, b.arrivals.PerSecond/float64(max(len(b.live), 1))
 			weight := s.ramp.weight(b.set.Copies, max(len(b.live), 1), b.warm)
 			if len(b.zoneServers) > 0 && int(s.Zone) != b.set.Zone {
 				weight = 0
 			} else if len(b.zoneServers) > 0 {
 				weight *= float64(b.zones) // for the copies of other zones
 			}
-			most := weight * coldPart * share * (from + (1-from)*max(age, 0)/max(b.set.Safety.Ramp, 1))
+			most := weight * coldPart * share * (from + (1-from)*max(age, 0)/max(b.set.Safety.RampTime, 1))
 			if !s.measured && b.measured == 0 { // all cold at the start: nothing was sent, nor ever would be
 				return most
 			} else if !s.measured {
@@ -907,7 +907,7 @@
 		}
 		b.out += s.out - s.connecting
 		if s.cold {
-			serving += b.set.Safety.ColdFrom
+			serving += b.set.Safety.ColdCapacity
 		} else {
 			serving++
 		}
@@ -925,7 +925,7 @@
 		b.askRounds = askSoon
 	}
 	if ev.List == ListFailed || ev.List == ListMoved {
-		if at := b.nextTurn(); b.set.ListOnRequest && (b.askAt == 0 || at < b.askAt) {
+		if at := b.nextTurn(); b.set.PollList && (b.askAt == 0 || at < b.askAt) {
 			b.askAt = at
 		}
 		if ev.List == ListFailed {
@@ -959,15 +959,15 @@
 // closeIdle closes the idle connections to a server that drains: on the notice, after each outcome and probe
 // there, and once more later, for one that was still being opened. A quiet copy would hold the drain up.
 func (b *Balancer) closeIdle(s *server) {
-	if s.ready() || b.set.Safety.DrainClose <= 0 {
+	if s.ready() || b.set.Safety.DrainCloseTimeout <= 0 {
 		return
 	}
 	if s.closeAt == 0 {
 		b.closing = append(b.closing, s)
 	}
-	s.closeAt = b.now + b.set.Safety.DrainClose/2
-	b.acts = append(b.acts, Action{Kind: ActClose, Server: s.Server},
-		Action{Kind: ActTimer, After: b.set.Safety.DrainClose / 2})
+	s.closeAt = b.now + b.set.Safety.DrainCloseTimeout/2
+	b.acts = append(b.acts, Action{Kind: ActCloseIdle, Server: s.Server},
+		Action{Kind: ActTimer, Delay: b.set.Safety.DrainCloseTimeout / 2})
 }
 
 // closeAgain does so for those whose time has come, give or take what a host rounds off a timer.
@@ -977,7 +977,7 @@
 			return false
 		}
 		if s.closeAt = 0; !s.ready() {
-			b.acts = append(b.acts, Action{Kind: ActClose, Server: s.Server})
+			b.acts = append(b.acts, Action{Kind: ActCloseIdle, Server: s.Server})
 		}
 		return true
 	})
@@ -1025,12 +1025,12 @@
 	if fresh {
 		s.unmeasure(b.now)
 		s.maxLoad, s.meanLatency, s.linked = 0, 0, false
-		if b.now-s.Started < b.set.Safety.Ramp {
+		if b.now-s.Started < b.set.Safety.RampTime {
 			s.ramp = newRamp(&b.set, e, b.demand())
 			s.cold, s.credit, s.accruedAt = true, s.ramp.phase(), b.now
 		}
 	}
-	s.listed = e.State != Gone
+	s.listed = e.State != Removed
 	return s
 }
 
@@ -1038,7 +1038,7 @@
 func (b *Balancer) wake() {
 	if b.askAt != 0 && b.now >= b.askAt {
 		b.askAt = 0
-		b.acts = append(b.acts, Action{Kind: ActWatch})
+		b.acts = append(b.acts, Action{Kind: ActWatchList})
 	}
 	at := cmp.Or(b.askAt, math.Inf(1))
 	if len(b.queue) > 0 {
@@ -1051,5 +1051,5 @@
 		return
 	}
 	b.wakeAt, b.timer = at, b.timer+1
-	b.acts = append(b.acts, Action{Kind: ActTimer, After: max(at-b.now, 0), Token: b.timer})
+	b.acts = append(b.acts, Action{Kind: ActTimer, Delay: max(at-b.now, 0), Token: b.timer})
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -17,12 +17,12 @@
 func plain() Settings {
 	return Settings{
 		Classes: []Class{
-			{Name: "read", Worth: 1, Aim: 500, GiveUp: 1000, Effect: Safe},
-			{Name: "keyed", Worth: 2, Aim: 500, GiveUp: 1000, Effect: Keyed, Group: GroupCell, Window: 300},
-			{Name: "book", Worth: 5, Aim: 500, GiveUp: 1000, Effect: Unsafe},
+			{Name: "read", Value: 1, TargetLatency: 500, Timeout: 1000, Effect: Safe},
+			{Name: "keyed", Value: 2, TargetLatency: 500, Timeout: 1000, Effect: Keyed, Scope: ScopeCell, DedupWindow: 300},
+			{Name: "book", Value: 5, TargetLatency: 500, Timeout: 1000, Effect: Unsafe},
 		},
-		Limits: Limits{MaxAttempts: 3, RetryAfter: true},
-		Safety: Safety{ColdFrom: 0.2, Ramp: 20000, FallMultiple: 3, FallAfter: 1500, AskEvery: 10000},
+		Limits: Limits{MaxAttempts: 3, SendRetryAfter: true},
+		Safety: Safety{ColdCapacity: 0.2, RampTime: 20000, OverloadMultiple: 3, OverloadWindow: 1500, PollInterval: 10000},
 	}
 }
 
@@ -71,7 +71,7 @@
 }
 
 func (h *harness) request(id uint32, class uint16) []Action {
-	return h.do(Event{Kind: EvRequest, Request: id, Class: class, Due: h.now + 1000})
+	return h.do(Event{Kind: EvRequest, Request: id, Class: class, Deadline: h.now + 1000})
 }
 
 func ids(n int) []ServerEntry {
@@ -88,12 +88,12 @@
 		spoil      func(*Settings)
 	}{
 		{"no classes", "Classes", func(s *Settings) { s.Classes = nil }},
-		{"negative time", "GiveUp -1", func(s *Settings) { s.Classes[0].GiveUp = -1 }},
-		{"negative window", "Window -2", func(s *Settings) { s.Classes[1].Window = -2 }},
+		{"negative time", "GiveUp -1", func(s *Settings) { s.Classes[0].Timeout = -1 }},
+		{"negative window", "Window -2", func(s *Settings) { s.Classes[1].DedupWindow = -2 }},
 		{"unknown effect", "Effect 9", func(s *Settings) { s.Classes[0].Effect = 9 }},
 		{"tier out of range", "Stage 3", func(s *Settings) { s.Stage, s.Stages = 3, 3 }},
-		{"negative ramp", "Ramp -5", func(s *Settings) { s.Safety.Ramp = -5 }},
-		{"no number", "ColdFrom NaN", func(s *Settings) { s.Safety.ColdFrom = math.NaN() }},
+		{"negative ramp", "Ramp -5", func(s *Settings) { s.Safety.RampTime = -5 }},
+		{"no number", "ColdFrom NaN", func(s *Settings) { s.Safety.ColdCapacity = math.NaN() }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			set := plain()
@@ -156,7 +156,7 @@
 // Clients that are not told, or wait only for so long, must not be asked to come back later.
 func TestRefusalTellsWhatTheSettingsAllow(t *testing.T) {
 	for want, l := range map[float64]Limits{
-		0: {MaxRetryAfter: 2000}, 300: {RetryAfter: true, MaxRetryAfter: 300}, comeBack: {RetryAfter: true},
+		0: {MaxRetryAfter: 2000}, 300: {SendRetryAfter: true, MaxRetryAfter: 300}, comeBack: {SendRetryAfter: true},
 	} {
 		set := plain()
 		set.Limits = l
@@ -166,7 +166,7 @@
 		for id := uint32(1); id <= 9; id++ {
 			last = h.request(id, 0)
 		}
-		if len(last) != 1 || last[0].Kind != ActRefuse || last[0].After != want {
+		if len(last) != 1 || last[0].Kind != ActRefuse || last[0].Delay != want {
 			t.Errorf("%+v: %+v, want a refusal with %v", l, last, want)
 		}
 	}
@@ -176,7 +176,7 @@
 	set := plain()
 	h := start(t, set, ids(1)...)
 	h.b.limit.most, h.b.limit.reviseAt = 1, math.Inf(1)
-	h.b.sends = stats.Rate{PerSecond: 20, At: h.now}
+	h.b.sends = stats.Rate{PerSecond: 20, UpdatedAt: h.now}
 	if acts := h.request(1, 0); len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Fatalf("first call: %+v", acts)
 	}
@@ -191,7 +191,7 @@
 	if held < 2 || refused != 18-held {
 		t.Fatalf("%d calls held and %d refused of 18", held, refused)
 	}
-	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: 100, Outcome: OK, Took: 20, Done: true})
+	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: 100, Outcome: OK, Elapsed: 20, RequestDone: true})
 	if len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Request != 2 {
 		t.Errorf("the head of the queue must be sent first: %+v", acts)
 	}
@@ -199,7 +199,7 @@
 
 func TestCheapCallsAreRefusedFirst(t *testing.T) {
 	h := start(t, plain(), ids(1)...)
-	h.b.limit.most, h.b.limit.reviseAt, h.b.sends = 1, math.Inf(1), stats.Rate{PerSecond: 60, At: h.now}
+	h.b.limit.most, h.b.limit.reviseAt, h.b.sends = 1, math.Inf(1), stats.Rate{PerSecond: 60, UpdatedAt: h.now}
 	h.request(1, 2)
 	for id := uint32(2); id < 5; id++ {
 		h.request(id, 2)
@@ -216,7 +216,7 @@
 // refused: its calls are worth more the rarer they are, until another class is served worse.
 func TestWorstServedClassIsWorthMore(t *testing.T) {
 	set := plain()
-	set.WorstClass = 0.5
+	set.WorstClassWeight = 0.5
 	h := start(t, set, ids(1)...)
 	plainValue := h.b.value(1)
 	for range 200 { // calls of the cheapest class that end unserved
@@ -258,7 +258,7 @@
 	for id, q := range h.b.requests { // an answer from there changes nothing any more
 		if q.attempts[0].server == left {
 			out := h.b.out
-			h.do(Event{Kind: EvOutcome, Request: id, Server: left.Server, Outcome: OK, Took: 5, Done: true})
+			h.do(Event{Kind: EvOutcome, Request: id, Server: left.Server, Outcome: OK, Elapsed: 5, RequestDone: true})
 			if h.b.out != out {
 				t.Errorf("%d calls out, want %d", h.b.out, out)
 			}
@@ -269,7 +269,7 @@
 	if h.b.limit.most != 40 {
 		t.Errorf("room %v with the fourth server back, want 40", h.b.limit.most)
 	}
-	h.b.set.Safety.Ramp, h.b.set.Safety.ColdFrom = 1000, 0.4
+	h.b.set.Safety.RampTime, h.b.set.Safety.ColdCapacity = 1000, 0.4
 	h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 92, State: Ready, Started: h.now}}})
 	if h.b.limit.most != 44 {
 		t.Errorf("room %v with a cold fifth server, want 44", h.b.limit.most)
@@ -325,7 +325,7 @@
 	} {
 		set := plain()
 		set.Stage, set.Stages = c.stage, 2
-		set.Limits.Cancel = true
+		set.Limits.CancelAttempts = true
 		h := start(t, set, ids(2)...)
 		h.b.classes[c.class].latency = 10
 		if s := h.b.live[0]; c.ejected {
@@ -348,7 +348,7 @@
 		if !c.want {
 			continue
 		}
-		acts = h.do(Event{Kind: EvOutcome, Request: 1, Server: s.Server, Outcome: Cancelled, Took: 61})
+		acts = h.do(Event{Kind: EvOutcome, Request: 1, Server: s.Server, Outcome: Cancelled, Elapsed: 61})
 		if len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Server == s.Server || s.run != 1 {
 			t.Errorf("%s: then %+v, a run of %v failures", c.name, acts, s.run)
 		}
@@ -364,14 +364,14 @@
 func TestSilentServerLeavesTheRoom(t *testing.T) {
 	set := plain()
 	for i := range set.Classes {
-		set.Classes[i].Aim, set.Classes[i].GiveUp = 1000, 60000
+		set.Classes[i].TargetLatency, set.Classes[i].Timeout = 1000, 60000
 	}
 	h := start(t, set, ids(1)...)
 	h.b.limit.most, h.b.limit.reviseAt, h.b.limit.serving = 10, math.Inf(1), 2 // for the server that comes back below, too
 	var stuck []Action
 	for id := uint32(1); id <= 20; id++ {
 		h.b.sends.Add(h.now, 10, demandTime) // the queue is long enough
-		stuck = append(stuck, h.do(Event{Kind: EvRequest, Request: id, Class: 2, Due: h.now + 60000})...)
+		stuck = append(stuck, h.do(Event{Kind: EvRequest, Request: id, Class: 2, Deadline: h.now + 60000})...)
 	}
 	h.b.limit.serving = 2
 	h.do(Event{Kind: EvList, List: ListFull, Servers: ids(2)})
@@ -385,11 +385,11 @@
 		t.Errorf("%d calls out at the other server in a room of %v, %d at the silent one; want 5 in 5, and 10",
 			other.out, h.b.limit.most, silent.out)
 	}
-	h.do(Event{Kind: EvOutcome, Request: stuck[0].Request, Server: silent.Server, Outcome: Timeout, Took: 1000})
+	h.do(Event{Kind: EvOutcome, Request: stuck[0].Request, Server: silent.Server, Outcome: Timeout, Elapsed: 1000})
 	if !silent.silent || h.b.limit.most != 5 {
 		t.Error("a time-out counts as a sign of life")
 	}
-	h.do(Event{Kind: EvOutcome, Request: stuck[1].Request, Server: silent.Server, Took: 1000, Done: true})
+	h.do(Event{Kind: EvOutcome, Request: stuck[1].Request, Server: silent.Server, Elapsed: 1000, RequestDone: true})
 	if silent.silent || h.b.limit.most != 10 || h.b.out != silent.out+other.out {
 		t.Errorf("heard of again: silent %v, room %v, %d out", silent.silent, h.b.limit.most, h.b.out)
 	}
@@ -403,12 +403,12 @@
 	sent := h.request(1, 0)
 	s := h.b.byID[sent[0].Server]
 	h.now += 300
-	h.do(Event{Kind: EvFirst, Request: 1, Server: s.Server, Took: 300})
+	h.do(Event{Kind: EvResponseStarted, Request: 1, Server: s.Server, Elapsed: 300})
 	h.now += 10 * h.b.silence
 	if h.do(Event{Kind: EvTimer, Token: h.b.timer}); h.b.overdue(s) {
 		t.Error("overdue with nothing out but a stream")
 	}
-	h.do(Event{Kind: EvOutcome, Request: 1, Server: s.Server, Took: 9000, Done: true})
+	h.do(Event{Kind: EvOutcome, Request: 1, Server: s.Server, Elapsed: 9000, RequestDone: true})
 	if s.streams != 0 || s.out != 0 {
 		t.Errorf("%d streams and %d calls out after the end", s.streams, s.out)
 	}
@@ -418,13 +418,13 @@
 func TestSharedSilenceKeepsTheRoom(t *testing.T) {
 	set := plain()
 	for i := range set.Classes {
-		set.Classes[i].Aim, set.Classes[i].GiveUp = 1000, 60000
+		set.Classes[i].TargetLatency, set.Classes[i].Timeout = 1000, 60000
 	}
 	h := start(t, set, ids(2)...)
 	h.b.limit.most, h.b.limit.reviseAt = 10, math.Inf(1)
 	for id := uint32(1); id <= 20; id++ {
 		h.b.sends.Add(h.now, 10, demandTime)
-		h.do(Event{Kind: EvRequest, Request: id, Class: 2, Due: h.now + 60000})
+		h.do(Event{Kind: EvRequest, Request: id, Class: 2, Deadline: h.now + 60000})
 	}
 	h.now += 10 * h.b.silence
 	h.do(Event{Kind: EvTimer, Token: h.b.timer})
@@ -437,7 +437,7 @@
 // was quickest must not draw all calls: it would be driven over, and then the next.
 func TestQuickServerDrawsNoHerd(t *testing.T) {
 	set := plain()
-	set.Classes[2].Aim, set.Classes[2].GiveUp = 5000, 10000
+	set.Classes[2].TargetLatency, set.Classes[2].Timeout = 5000, 10000
 	h := start(t, set, ids(4)...)
 	h.b.limit.most, h.b.limit.reviseAt, h.b.pooled, h.b.tierLatency = 100, math.Inf(1), 100, 0.1
 	for i, s := range h.b.live { // at three calls each, one server answers in two thirds of the others' time
@@ -450,7 +450,7 @@
 	h.b.recount()
 	for id := uint32(1); id <= 36; id++ { // none is answered meanwhile
 		h.b.sends.Add(h.now, 10, demandTime)
-		h.do(Event{Kind: EvRequest, Request: id, Class: 2, Due: h.now + 10000})
+		h.do(Event{Kind: EvRequest, Request: id, Class: 2, Deadline: h.now + 10000})
 	}
 	for i, s := range h.b.live {
 		if s.out < 6 || s.out > 15 {
@@ -464,7 +464,7 @@
 func TestCutServerGetsTrials(t *testing.T) {
 	for class, want := range []bool{true, false, false} {
 		set := plain()
-		set.Limits.ConnIdle = 1000
+		set.Limits.ConnIdleTimeout = 1000
 		h := start(t, set, ids(2)...)
 		s := h.b.live[0]
 		s.ejected, s.measured, s.load, s.run = true, true, 0.1, 3
@@ -481,7 +481,7 @@
 func TestCallBehindThePatientHeadIsAnswered(t *testing.T) {
 	h := start(t, plain())
 	h.request(1, 0)
-	h.do(Event{Kind: EvRequest, Request: 2, Class: 0, Due: h.now + 100})
+	h.do(Event{Kind: EvRequest, Request: 2, Class: 0, Deadline: h.now + 100})
 	h.now += 120
 	acts := h.do(Event{Kind: EvTimer, Token: 1})
 	if len(acts) != 1 || acts[0].Kind != ActRefuse || acts[0].Request != 2 {
@@ -505,18 +505,18 @@
 		{"safe after an error", 0, Error, ActSend, false},
 		{"safe after a reset", 0, Reset, ActSend, false},
 		{"keyed after an error", 1, Error, ActSend, true},
-		{"keyed after a full server", 1, Full, ActSend, false},
+		{"keyed after a full server", 1, Rejected, ActSend, false},
 		{"unsafe after an error", 2, Error, ActFail, false},
 		{"unsafe after a time-out", 2, Timeout, ActFail, false},
 		{"unsafe after a cancel", 2, Cancelled, ActFail, false},
-		{"unsafe after a full server", 2, Full, ActSend, false},
+		{"unsafe after a full server", 2, Rejected, ActSend, false},
 		{"unsafe after a failed connect", 2, ConnectFailed, ActSend, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := start(t, plain(), ids(8)...)
 			first := h.request(1, c.class)
 			h.now += 50
-			acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: first[0].Server, Outcome: c.outcome, Took: 50})
+			acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: first[0].Server, Outcome: c.outcome, Elapsed: 50})
 			if len(acts) != 1 || acts[0].Kind != c.want {
 				t.Fatalf("actions %+v, want kind %d", acts, c.want)
 			}
@@ -540,13 +540,13 @@
 		},
 		"gone, and back elsewhere": func(s ServerEntry) [][]ServerEntry {
 			gone := s
-			gone.State = Gone
+			gone.State = Removed
 			return [][]ServerEntry{{gone}, moved(s)}
 		},
 	} {
-		for _, group := range []Group{GroupZone, GroupCell} {
+		for _, group := range []DedupScope{ScopeZone, ScopeCell} {
 			set, servers := plain(), ids(8)
-			set.Classes[1].Group = group
+			set.Classes[1].Scope = group
 			for i := range servers {
 				servers[i].Zone = uint8(i / 4)
 			}
@@ -564,10 +564,10 @@
 			for _, list := range lists(sent) {
 				h.do(Event{Kind: EvList, List: ListDelta, Servers: list})
 			}
-			ev := Event{Kind: EvOutcome, Request: first[0].Request, Server: sent.Server, Outcome: Reset, Took: 50}
+			ev := Event{Kind: EvOutcome, Request: first[0].Request, Server: sent.Server, Outcome: Reset, Elapsed: 50}
 			for _, a := range h.do(ev) {
 				to := servers[max(a.Server, 100)-100]
-				if a.Kind == ActSend && (group == GroupZone && to.Zone != 0 || group == GroupCell && to.Cell != 0) {
+				if a.Kind == ActSend && (group == ScopeZone && to.Zone != 0 || group == ScopeCell && to.Cell != 0) {
 					t.Errorf("%s, group %d: sent to %+v after %+v", name, group, to, sent)
 				}
 			}
@@ -579,7 +579,7 @@
 	h := start(t, plain(), ids(8)...)
 	first := h.request(1, 1)
 	h.now += 301
-	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: first[0].Server, Outcome: Reset, Took: 301})
+	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: first[0].Server, Outcome: Reset, Elapsed: 301})
 	if len(acts) != 1 || acts[0].Kind != ActFail {
 		t.Errorf("actions %+v, want a failure", acts)
 	}
@@ -594,7 +594,7 @@
 		at := h.now
 		first := h.request(request, class)
 		h.now += 200
-		ev := Event{Kind: EvOutcome, Request: request, Server: first[0].Server, Outcome: Reset, Took: 200}
+		ev := Event{Kind: EvOutcome, Request: request, Server: first[0].Server, Outcome: Reset, Elapsed: 200}
 		again := h.do(ev)
 		if len(again) != 1 || again[0].Kind != ActSend {
 			t.Fatalf("class %d: actions %+v, want a repeat", class, again)
@@ -603,8 +603,8 @@
 		if class == 1 {
 			want = at + 300
 		}
-		if first[0].Whole != 0 || again[0].Whole != want {
-			t.Errorf("class %d: whole by %v, again by %v, want 0 and %v", class, first[0].Whole, again[0].Whole, want)
+		if first[0].LastByteBy != 0 || again[0].LastByteBy != want {
+			t.Errorf("class %d: whole by %v, again by %v, want 0 and %v", class, first[0].LastByteBy, again[0].LastByteBy, want)
 		}
 	}
 }
@@ -641,7 +641,7 @@
 		b.Handle(1000, &Event{Kind: EvList, List: ListCached, Servers: entries}, nil)
 		for i := range 20 {
 			now := 1000 + 50*float64(i)
-			for _, a := range b.Handle(now, &Event{Kind: EvRequest, Request: uint32(i), Due: now + 900}, nil) {
+			for _, a := range b.Handle(now, &Event{Kind: EvRequest, Request: uint32(i), Deadline: now + 900}, nil) {
 				if a.Kind != ActSend {
 					continue
 				}
@@ -649,7 +649,7 @@
 				if a.Server == 102 {
 					firsts++
 				}
-				b.Handle(now+10, &Event{Kind: EvOutcome, Request: a.Request, Server: a.Server, Took: 10, Done: true}, nil)
+				b.Handle(now+10, &Event{Kind: EvOutcome, Request: a.Request, Server: a.Server, Elapsed: 10, RequestDone: true}, nil)
 			}
 		}
 	}
@@ -665,12 +665,12 @@
 	for _, ev := range []Event{
 		{Kind: EvOutcome, Request: 99, Outcome: OK},
 		{Kind: EvOutcome, Request: 1, Attempt: 7, Outcome: Error},
-		{Kind: EvGone, Request: 99},
-		{Kind: EvFirst, Request: 1, Attempt: 9},
-		{Kind: EvRequest, Request: 5, Class: 44, Due: 5000},
-		{Kind: EvRequest, Request: 1, Due: 5000},
+		{Kind: EvClientGone, Request: 99},
+		{Kind: EvResponseStarted, Request: 1, Attempt: 9},
+		{Kind: EvRequest, Request: 5, Class: 44, Deadline: 5000},
+		{Kind: EvRequest, Request: 1, Deadline: 5000},
 		{Kind: EvTimer, Token: 12345},
-		{Kind: EvProbe, Server: 4},
+		{Kind: EvProbeResult, Server: 4},
 		{Kind: 200},
 	} {
 		if acts := h.do(ev); len(acts) != 0 {
@@ -686,7 +686,7 @@
 func TestEarlyTimerIsSetAgain(t *testing.T) {
 	h := start(t, plain())
 	var timers []Action
-	for _, a := range h.b.Handle(h.now, &Event{Kind: EvRequest, Request: 1, Class: 2, Due: h.now + 100}, nil) {
+	for _, a := range h.b.Handle(h.now, &Event{Kind: EvRequest, Request: 1, Class: 2, Deadline: h.now + 100}, nil) {
 		if a.Kind == ActTimer {
 			timers = append(timers, a)
 		}
@@ -695,7 +695,7 @@
 		if len(timers) != 1 {
 			t.Fatalf("%v: timers %+v while a call waits", h.now, timers)
 		}
-		h.now += timers[0].After - 0.0004
+		h.now += timers[0].Delay - 0.0004
 		token := timers[0].Token
 		timers = timers[:0]
 		for _, a := range h.b.Handle(h.now, &Event{Kind: EvTimer, Token: token}, nil) {
@@ -712,12 +712,12 @@
 
 func TestListIsAskedForAgain(t *testing.T) {
 	set := plain()
-	set.ListOnRequest = true
+	set.PollList = true
 	h := start(t, set, ids(1)...)
 	asked := func(until float64) float64 {
 		for ; h.now < until; h.now += 10 {
 			for _, a := range h.do(Event{Kind: EvTimer, Token: 1}) {
-				if a.Kind == ActWatch {
+				if a.Kind == ActWatchList {
 					return h.now
 				}
 			}
@@ -725,14 +725,14 @@
 		t.Fatalf("not asked until %v", until)
 		return 0
 	}
-	asked(1000 + set.Safety.AskEvery)
+	asked(1000 + set.Safety.PollInterval)
 	var gaps []float64
 	for range 6 {
 		failed := h.now
 		h.do(Event{Kind: EvList, List: ListFailed})
-		gaps = append(gaps, asked(h.now+4*set.Safety.AskEvery)-failed)
+		gaps = append(gaps, asked(h.now+4*set.Safety.PollInterval)-failed)
 	}
-	if gaps[0] > 1600 || gaps[5] < 4000 || gaps[5] > 2*set.Safety.AskEvery {
+	if gaps[0] > 1600 || gaps[5] < 4000 || gaps[5] > 2*set.Safety.PollInterval {
 		t.Errorf("gaps between calls %v must grow and stay bounded", gaps)
 	}
 }
@@ -803,7 +803,7 @@
 // wait for answers that do not come.
 func TestCheapProbesChooseTheServer(t *testing.T) {
 	set := plain()
-	set.Limits.Probes, set.HeldField, set.ProbePrice = true, 2, 0.001
+	set.Limits.Probing, set.LoadReportField, set.ProbeCost = true, 2, 0.001
 	h := start(t, set, ids(8)...)
 	h.b.heldMean = 10 // most servers hold more than those asked: no second question
 	probed := h.request(1, 0)
@@ -813,18 +813,18 @@
 	var acts []Action
 	for i, p := range probed {
 		held := float32(9 - i)
-		acts = h.do(Event{Kind: EvProbe, Server: p.Server, Outcome: OK, Report: [4]float32{5, held}, Values: 2})
+		acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{5, held}, LoadReportLen: 2})
 	}
 	if least := probed[len(probed)-1].Server; len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Server != least {
 		t.Errorf("actions %+v, want a send to server %d, which holds least", acts, least)
 	}
 	h.now += 1000
 	h.request(2, 0)
-	h.now += probeWait*set.Classes[0].Aim + 1
+	h.now += probeWait*set.Classes[0].TargetLatency + 1
 	if acts = h.do(Event{Kind: EvTimer}); len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Errorf("actions %+v, want a send though no probe came back", acts)
 	}
-	set.ProbePrice = 0.05
+	set.ProbeCost = 0.05
 	h = start(t, set, ids(8)...)
 	if acts = h.request(1, 0); len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Errorf("actions %+v, want no probes where they are dear", acts)
@@ -850,7 +850,7 @@
 		h.now += 40
 		for _, a := range out {
 			met[a.Server] = true
-			h.do(Event{Kind: EvOutcome, Request: a.Request, Server: a.Server, Outcome: OK, Took: 40, Done: true})
+			h.do(Event{Kind: EvOutcome, Request: a.Request, Server: a.Server, Outcome: OK, Elapsed: 40, RequestDone: true})
 		}
 	}
 	if len(met) > 4 {
@@ -873,12 +873,12 @@
 			if a.Kind != ActSend {
 				continue
 			}
-			ev := Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Took: 20, Done: true}
+			ev := Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Elapsed: 20, RequestDone: true}
 			if (a.Server-100)%2 == 0 {
 				if id > 100 {
 					lost++
 				}
-				ev.Outcome, ev.Done = ConnectFailed, false
+				ev.Outcome, ev.RequestDone = ConnectFailed, false
 			}
 			h.now += 10
 			for k := range h.b.requests[id].attempts {
@@ -913,13 +913,13 @@
 // allows; it waits, asks again, and sends when one has room.
 func TestProbesHoldBackWhatWouldBeLate(t *testing.T) {
 	set := plain()
-	set.Limits.Probes, set.HeldField = true, 1
+	set.Limits.Probing, set.LoadReportField = true, 1
 	h := start(t, set, ids(8)...)
 	h.b.turn = 150    // ms for each call held, aim 500
 	h.b.heldMean = 10 // most servers hold more than those asked: no second question
 	answer := func(probes []Action, held float32) (acts []Action) {
 		for _, p := range probes {
-			acts = h.do(Event{Kind: EvProbe, Server: p.Server, Outcome: OK, Report: [4]float32{held}, Values: 1})
+			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{held}, LoadReportLen: 1})
 		}
 		return acts
 	}
@@ -939,10 +939,10 @@
 // A class whose aim grows with a request's work must not have heavy calls given up early.
 func TestAimStretchesWithTheHint(t *testing.T) {
 	set := plain()
-	set.Classes[0].AimStretch = 2
+	set.Classes[0].TargetWorkFactor = 2
 	for hint, aim := range map[float64]float64{0: 500, 100: 700, 900: 1000} {
 		h := start(t, set)
-		h.do(Event{Kind: EvRequest, Request: 1, Due: h.now + 5000, Hint: hint})
+		h.do(Event{Kind: EvRequest, Request: 1, Deadline: h.now + 5000, WorkHint: hint})
 		if got := h.b.requests[1].aimAt - h.now; got != aim {
 			t.Errorf("hint %v: aim after %v, want %v", hint, got, aim)
 		}
@@ -957,11 +957,11 @@
 	cycle := func() {
 		id++
 		h.now += 5
-		acts = h.b.Handle(h.now, &Event{Kind: EvRequest, Request: id, Due: h.now + 1000}, acts[:0])
+		acts = h.b.Handle(h.now, &Event{Kind: EvRequest, Request: id, Deadline: h.now + 1000}, acts[:0])
 		for _, a := range acts {
 			if a.Kind == ActSend {
 				h.now += 2
-				acts = h.b.Handle(h.now, &Event{Kind: EvOutcome, Request: id, Server: a.Server, Took: 2, Done: true}, acts[:0])
+				acts = h.b.Handle(h.now, &Event{Kind: EvOutcome, Request: id, Server: a.Server, Elapsed: 2, RequestDone: true}, acts[:0])
 				break
 			}
 		}
@@ -1031,7 +1031,7 @@
 // budgeted gives settings of a site that states a retry budget of one attempt and a tenth of the requests.
 func budgeted() Settings {
 	set := plain()
-	set.Safety.BudgetFree, set.Safety.BudgetShare, set.Safety.BudgetWindow = 1, 0.1, 10000
+	set.Safety.RetryBudgetMin, set.Safety.RetryBudgetRatio, set.Safety.RetryBudgetWindow = 1, 0.1, 10000
 	return set
 }
 
@@ -1048,20 +1048,20 @@
 			if attempt > 0 {
 				further = append(further, h.now)
 				from, f := h.now-10000, &h.b.set.Safety
-				allowed := f.BudgetFree + f.BudgetShare*count(taken, from+1e-6)
+				allowed := f.RetryBudgetMin + f.RetryBudgetRatio*count(taken, from+1e-6)
 				if made := count(further, from); made > allowed+1e-9 {
 					t.Fatalf("%v: %v further attempts in the window, %v allowed", h.now, made, allowed)
 				}
 			}
 			h.now++
-			out := []Outcome{Full, ConnectFailed, Error}[id%3]
-			acts = h.do(Event{Kind: EvOutcome, Request: id, Attempt: attempt, Server: acts[0].Server, Outcome: out, Took: 1})
+			out := []Outcome{Rejected, ConnectFailed, Error}[id%3]
+			acts = h.do(Event{Kind: EvOutcome, Request: id, Attempt: attempt, Server: acts[0].Server, Outcome: out, Elapsed: 1})
 		}
 	}
 	if len(further) < 20 {
 		t.Errorf("only %d further attempts: the budget was not used", len(further))
 	}
-	if n := h.b.taken.Held(); n > 1200 {
+	if n := h.b.taken.Len(); n > 1200 {
 		t.Errorf("%d entries kept for a window that holds 270", n)
 	}
 }
@@ -1078,7 +1078,7 @@
 	}
 	h.b.limit.most, h.b.limit.reviseAt = 0, math.Inf(1)
 	for id := uint32(1); id <= 2; id++ {
-		if acts := h.do(Event{Kind: EvOutcome, Request: id, Server: sent[id], Outcome: Full, Took: 1}); len(acts) != 0 {
+		if acts := h.do(Event{Kind: EvOutcome, Request: id, Server: sent[id], Outcome: Rejected, Elapsed: 1}); len(acts) != 0 {
 			t.Fatalf("want both to wait: %+v", acts)
 		}
 	}
@@ -1092,7 +1092,7 @@
 // closes counts the close actions for a server.
 func closes(acts []Action, server uint32) (n int) {
 	for _, a := range acts {
-		if a.Kind == ActClose && a.Server == server {
+		if a.Kind == ActCloseIdle && a.Server == server {
 			n++
 		}
 	}
@@ -1108,7 +1108,7 @@
 	if acts := h.do(drain); closes(acts, 100) != 0 {
 		t.Errorf("closed without a rule: %+v", acts)
 	}
-	set.Safety.DrainClose = 1500
+	set.Safety.DrainCloseTimeout = 1500
 	h = start(t, set, ids(1)...)
 	if acts := h.request(1, 0); len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Fatalf("want a send: %+v", acts)
@@ -1118,12 +1118,12 @@
 		t.Errorf("on the notice: %+v", acts)
 	}
 	h.now += 300
-	end := Event{Kind: EvOutcome, Request: 1, Server: 100, Outcome: OK, Took: 310, Done: true}
+	end := Event{Kind: EvOutcome, Request: 1, Server: 100, Outcome: OK, Elapsed: 310, RequestDone: true}
 	if acts := h.do(end); closes(acts, 100) != 1 {
 		t.Errorf("on the last outcome: %+v", acts)
 	}
 	last, closed := h.now, 0
-	for ; h.now < last+set.Safety.DrainClose-1; h.now += 10 {
+	for ; h.now < last+set.Safety.DrainCloseTimeout-1; h.now += 10 {
 		closed += closes(h.do(Event{Kind: EvTimer, Token: h.b.timer}), 100)
 	}
 	if closed != 1 {
@@ -1141,14 +1141,14 @@
 // A server that is ready again before the second close keeps its connections; one that is gone does not.
 func TestReadyAgainIsNotClosed(t *testing.T) {
 	set := plain()
-	set.Safety.DrainClose = 1500
-	for _, state := range []ServerState{Ready, Gone} {
+	set.Safety.DrainCloseTimeout = 1500
+	for _, state := range []ServerState{Ready, Removed} {
 		h := start(t, set, ids(2)...)
 		for _, st := range []ServerState{Draining, state} {
 			h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 100, State: st}}})
 		}
 		h.now += 1000
-		if n := closes(h.do(Event{Kind: EvTimer, Token: h.b.timer}), 100); (n == 1) != (state == Gone) {
+		if n := closes(h.do(Event{Kind: EvTimer, Token: h.b.timer}), 100); (n == 1) != (state == Removed) {
 			t.Errorf("state %d: closed %d times", state, n)
 		}
 	}
@@ -1170,10 +1170,10 @@
 func TestLeftCallIsCancelled(t *testing.T) {
 	for _, may := range []bool{true, false} {
 		set := plain()
-		set.Limits.Cancel = may
+		set.Limits.CancelAttempts = may
 		h := start(t, set, ids(2)...)
 		h.request(1, 0)
-		acts := h.do(Event{Kind: EvGone, Request: 1})
+		acts := h.do(Event{Kind: EvClientGone, Request: 1})
 		if may != (len(acts) == 1 && acts[0].Kind == ActCancel && acts[0].Request == 1) {
 			t.Errorf("cancelling allowed %v: %+v", may, acts)
 		}
@@ -1190,7 +1190,7 @@
 			t.Fatalf("server %d tried twice", acts[0].Server)
 		}
 		tried[acts[0].Server] = true
-		acts = h.do(Event{Kind: EvOutcome, Request: 1, Attempt: attempt, Server: acts[0].Server, Outcome: Full})
+		acts = h.do(Event{Kind: EvOutcome, Request: 1, Attempt: attempt, Server: acts[0].Server, Outcome: Rejected})
 	}
 	if len(tried) != 3 {
 		t.Errorf("%d servers tried of 3", len(tried))
@@ -1244,14 +1244,14 @@
 // A call whose probes all tell of busy servers must ask others, a bounded number of times.
 func TestBusyAnswersAreAskedAgain(t *testing.T) {
 	set := plain()
-	set.Limits.Probes, set.HeldField = true, 1
+	set.Limits.Probing, set.LoadReportField = true, 1
 	h := start(t, set, ids(30)...)
 	h.b.heldMean = 0.5
 	acts, rounds := h.request(1, 0), 0
 	for len(acts) > 0 && acts[0].Kind == ActProbe {
 		rounds++
 		for _, p := range acts {
-			acts = h.do(Event{Kind: EvProbe, Server: p.Server, Outcome: OK, Report: [4]float32{3}, Values: 1})
+			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{3}, LoadReportLen: 1})
 		}
 	}
 	if rounds != askMost || len(acts) != 1 || acts[0].Kind != ActSend {
@@ -1264,7 +1264,7 @@
 func TestFailingConnectsKeepToOpenConnections(t *testing.T) {
 	for _, probes := range []bool{false, true} {
 		set := plain()
-		set.Limits.Probes, set.HeldField, set.Limits.Streams, set.Limits.ConnIdle = probes, 1, 100, 30000
+		set.Limits.Probing, set.LoadReportField, set.Limits.StreamsPerConn, set.Limits.ConnIdleTimeout = probes, 1, 100, 30000
 		h := start(t, set, ids(40)...)
 		h.b.connLost = 0.5
 		for i, s := range h.b.live {
@@ -1277,13 +1277,13 @@
 			for ; len(queue) > 0; queue = queue[1:] {
 				switch a := queue[0]; a.Kind {
 				case ActProbe:
-					queue = append(queue, h.do(Event{Kind: EvProbe, Server: a.Server, Outcome: OK, Values: 1})...)
+					queue = append(queue, h.do(Event{Kind: EvProbeResult, Server: a.Server, Outcome: OK, LoadReportLen: 1})...)
 				case ActSend:
 					if (a.Server-100)%8 != 0 {
 						astray++
 					}
 					h.b.connLost = 0.5
-					queue = append(queue, h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Took: 5, Done: true})...)
+					queue = append(queue, h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Elapsed: 5, RequestDone: true})...)
 				}
 			}
 		}
@@ -1296,7 +1296,7 @@
 // Connections close when idle: a server that answered long ago has none open.
 func TestIdleConnectionsAreNotCountedOn(t *testing.T) {
 	set := plain()
-	set.Limits.ConnIdle, set.Limits.Streams = 5000, 1
+	set.Limits.ConnIdleTimeout, set.Limits.StreamsPerConn = 5000, 1
 	h := start(t, set, ids(1)...)
 	s := h.b.live[0]
 	s.linked, s.heard = true, h.b.now
@@ -1319,12 +1319,12 @@
 	if acts := h.request(1, 2); len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Fatalf("with a free server: %+v", acts)
 	}
-	h.b.limit.most, h.b.limit.reviseAt, h.b.sends = 1, math.Inf(1), stats.Rate{PerSecond: 20, At: h.now}
+	h.b.limit.most, h.b.limit.reviseAt, h.b.sends = 1, math.Inf(1), stats.Rate{PerSecond: 20, UpdatedAt: h.now}
 	if acts := h.request(2, 2); len(acts) != 0 {
 		t.Errorf("want the call to wait: %+v", acts)
 	}
 	h.now += 20
-	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: OK, Done: true})
+	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: OK, RequestDone: true})
 	if len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Request != 2 {
 		t.Errorf("want the waiting call sent: %+v", acts)
 	}
@@ -1370,7 +1370,7 @@
 				if a.Server == 100 && id > 200 {
 					got++
 				}
-				h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Took: took(a.Server), Done: true})
+				h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Elapsed: took(a.Server), RequestDone: true})
 			}
 		}
 	}
@@ -1418,7 +1418,7 @@
 	entries[9].Started = 1000
 	h := start(t, plain(), entries...)
 	s := h.b.byID[entries[9].Server]
-	h.b.arrivals = stats.Rate{PerSecond: 100, At: h.now}
+	h.b.arrivals = stats.Rate{PerSecond: 100, UpdatedAt: h.now}
 	h.b.measured, h.b.meanLoad = 1, 1e6
 	for _, age := range []float64{0, 5000, 19999} {
 		h.b.now = 1000 + age
@@ -1438,15 +1438,15 @@
 	set := plain()
 	set.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
 	h := start(t, set, ids(4)...)
-	h.b.limit.most, h.b.limit.reviseAt, h.b.sends = 20, math.Inf(1), stats.Rate{PerSecond: 1000, At: h.now}
+	h.b.limit.most, h.b.limit.reviseAt, h.b.sends = 20, math.Inf(1), stats.Rate{PerSecond: 1000, UpdatedAt: h.now}
 	h.b.out = 12
 	ask := func(id uint32, tenant uint16) []Action {
-		return h.do(Event{Kind: EvRequest, Request: id, Tenant: tenant, Due: h.now + 1000})
+		return h.do(Event{Kind: EvRequest, Request: id, Tenant: tenant, Deadline: h.now + 1000})
 	}
 	for id := uint32(1); id <= 2; id++ {
 		ask(id, 0) // its burst
 	}
-	if acts := ask(3, 0); len(acts) != 1 || acts[0].Kind != ActRefuse || acts[0].After <= 0 {
+	if acts := ask(3, 0); len(acts) != 1 || acts[0].Kind != ActRefuse || acts[0].Delay <= 0 {
 		t.Errorf("beyond the quota with half of the room taken: %+v, want a refusal with a Retry-After", acts)
 	}
 	if acts := ask(4, 1); len(acts) != 1 || acts[0].Kind != ActSend {
@@ -1457,7 +1457,7 @@
 // Fleets are replaced all day: what is kept of servers and calls must not grow with those gone for good.
 func TestMemoryDoesNotGrow(t *testing.T) {
 	set := plain()
-	set.Safety.DrainClose = 1500
+	set.Safety.DrainCloseTimeout = 1500
 	h := start(t, set)
 	id := uint32(0)
 	for round := range 60 {
@@ -1472,7 +1472,7 @@
 			h.now++
 			for _, a := range h.request(id, 0) {
 				if a.Kind == ActSend {
-					h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Took: 5, Done: true})
+					h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Elapsed: 5, RequestDone: true})
 				}
 			}
 		}
@@ -1481,8 +1481,8 @@
 	if len(h.b.byID) > 2000 || len(h.b.live) != 1000 || len(h.b.closing) > 2000 {
 		t.Errorf("%d servers known, %d live, %d to be closed", len(h.b.byID), len(h.b.live), len(h.b.closing))
 	}
-	if len(h.b.requests) != 0 || len(h.b.spare) > 100 || h.b.taken.Held() > 20000 {
-		t.Errorf("%d calls held, %d spare, %d taken", len(h.b.requests), len(h.b.spare), h.b.taken.Held())
+	if len(h.b.requests) != 0 || len(h.b.spare) > 100 || h.b.taken.Len() > 20000 {
+		t.Errorf("%d calls held, %d spare, %d taken", len(h.b.requests), len(h.b.spare), h.b.taken.Len())
 	}
 }
 
@@ -1495,9 +1495,9 @@
 	}{{1, 0, 500}, {0, 0, 1000}, {1, 0.5, 1000}} {
 		set := plain()
 		set.Stages, set.Stage = 2, c.stage
-		set.Classes[0].LateWorth = c.late
+		set.Classes[0].LateValue = c.late
 		h := start(t, set, ids(2)...)
-		if acts := h.request(1, 0); len(acts) != 1 || acts[0].Until != h.now+c.want {
+		if acts := h.request(1, 0); len(acts) != 1 || acts[0].Deadline != h.now+c.want {
 			t.Errorf("tier %d, late worth %v: %+v, want it given up after %v", c.stage, c.late, acts, c.want)
 		}
 	}
@@ -1506,12 +1506,12 @@
 // A call whose further attempt is allowed must not be ended because all probed servers look busy just then.
 func TestFurtherAttemptSurvivesBusyAnswers(t *testing.T) {
 	set := plain()
-	set.Limits.Probes, set.HeldField = true, 1
+	set.Limits.Probing, set.LoadReportField = true, 1
 	h := start(t, set, ids(12)...)
 	answer := func(acts []Action, held float32) (last []Action) {
 		for _, a := range acts {
 			if a.Kind == ActProbe {
-				last = h.do(Event{Kind: EvProbe, Server: a.Server, Outcome: OK, Values: 1, Report: [4]float32{held}})
+				last = h.do(Event{Kind: EvProbeResult, Server: a.Server, Outcome: OK, LoadReportLen: 1, LoadReport: [4]float32{held}})
 			}
 		}
 		return last
@@ -1523,7 +1523,7 @@
 	for _, s := range h.b.live {
 		s.held, s.heldAt = 5, h.b.now
 	}
-	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: sent[0].Server, Outcome: Error, Took: 1})
+	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: sent[0].Server, Outcome: Error, Elapsed: 1})
 	for range askMost + 1 {
 		for _, a := range acts {
 			switch a.Kind {
@@ -1546,14 +1546,14 @@
 		if h.b.now != h.now {
 			t.Fatalf("the clock went to %v", h.b.now)
 		}
-		if acts := h.do(Event{Kind: EvRequest, Request: 1, Due: bad}); len(acts) != 1 || acts[0].Kind != ActRefuse {
+		if acts := h.do(Event{Kind: EvRequest, Request: 1, Deadline: bad}); len(acts) != 1 || acts[0].Kind != ActRefuse {
 			t.Errorf("due %v: %+v, want a refusal", bad, acts)
 		}
-		acts := h.do(Event{Kind: EvRequest, Request: 2, Due: h.now + 1000, Hint: bad})
+		acts := h.do(Event{Kind: EvRequest, Request: 2, Deadline: h.now + 1000, WorkHint: bad})
 		if len(acts) != 1 || acts[0].Kind != ActSend {
 			t.Fatalf("hint %v: %+v, want a send", bad, acts)
 		}
-		h.do(Event{Kind: EvOutcome, Request: 2, Server: acts[0].Server, Outcome: OK, Took: bad, Done: true})
+		h.do(Event{Kind: EvOutcome, Request: 2, Server: acts[0].Server, Outcome: OK, Elapsed: bad, RequestDone: true})
 		if b := h.b; len(b.requests) != 0 || !(b.tierLatency >= 0) || !(b.classes[0].latency >= 0) || math.IsInf(b.tierLatency, 0) {
 			t.Errorf("took %v: %d calls held, mean ratio %v", bad, len(b.requests), b.tierLatency)
 		}
--- a/cmd/forkline/config.go
+++ b/cmd/forkline/config.go
@@ -59,17 +59,17 @@
 	if cfg.MemoryMB < 1 {
 		return cfg, fmt.Errorf("%s: limits.memory_mb: %d is no limit", path, cfg.MemoryMB)
 	}
-	if cfg.Sockets < sidecar.LeastSockets {
-		return cfg, fmt.Errorf("%s: limits.sockets: %d is under the %d needed", path, cfg.Sockets, sidecar.LeastSockets)
+	if cfg.Sockets < sidecar.MinSockets {
+		return cfg, fmt.Errorf("%s: limits.sockets: %d is under the %d needed", path, cfg.Sockets, sidecar.MinSockets)
 	}
 	if cfg.Site, err = wire.ParseSite(f.Settings); err != nil {
 		return cfg, fmt.Errorf("%s: %w", path, err)
 	}
 	sum := fnv.New64a()
 	sum.Write(f.Settings) // never fails
-	cfg.Hash = sum.Sum64()
+	cfg.SettingsHash = sum.Sum64()
 	if len(f.Known) > 0 {
-		if cfg.Known, err = sidecar.ParseList(f.Known); err != nil {
+		if cfg.InitialList, err = sidecar.ParseList(f.Known); err != nil {
 			return cfg, fmt.Errorf("%s: known: %w", path, err)
 		}
 	}
--- a/cmd/forkline/config_test.go
+++ b/cmd/forkline/config_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	if cfg.Name != "n3" || cfg.Listen != "127.0.0.1:8443" || cfg.Seed != 0x8c1f30d27a5be964 || cfg.Sockets != 1024 ||
-		cfg.Known.Rev != 41 || len(cfg.Known.Targets) != 1 || cfg.Site.Settings.Classes[0].Name != "read" {
+		cfg.InitialList.Rev != 41 || len(cfg.InitialList.Targets) != 1 || cfg.Site.Settings.Classes[0].Name != "read" {
 		t.Errorf("configuration %+v", cfg)
 	}
 	cfg, err = load(env(t, strings.Replace(good, `"listen":"127.0.0.1:8443",`, "", 1)))
--- a/cmd/forkline/main.go
+++ b/cmd/forkline/main.go
@@ -61,7 +61,7 @@
 		return sockets
 	}
 	slog.Warn("fewer descriptors than the settings tell", "limit", limit.Cur, "sockets", sockets)
-	return max(int(limit.Cur), sidecar.LeastSockets)
+	return max(int(limit.Cur), sidecar.MinSockets)
 }
 
 // reload reads the configuration anew and puts it in force. One that cannot be used changes nothing.
@@ -69,7 +69,7 @@
 	signalled := time.Now()
 	cfg, err := load(os.Getenv)
 	if err == nil {
-		cfg.Signalled, cfg.Sockets = signalled, allowed(cfg.Sockets)
+		cfg.ReloadRequestedAt, cfg.Sockets = signalled, allowed(cfg.Sockets)
 		err = s.Reload(cfg)
 	}
 	if err != nil {
--- a/discovery_test.go
+++ b/discovery_test.go
@@ -15,7 +15,7 @@
 func newAsking(t *testing.T, copies, rank, stage int) *asking {
 	t.Helper()
 	set := plain()
-	set.ListOnRequest, set.Copies, set.Rank, set.Stage, set.Stages = true, copies, rank, stage, 2
+	set.PollList, set.Copies, set.Rank, set.Stage, set.Stages = true, copies, rank, stage, 2
 	a := &asking{now: 1.7e12}
 	var err error
 	if a.b, err = New(set, uint64(rank), a.now); err != nil {
@@ -32,10 +32,10 @@
 	for _, act := range a.b.Handle(a.now, &ev, nil) {
 		switch act.Kind {
 		case ActTimer:
-			if a.timer.Token == 0 || a.now+act.After < a.timer.After {
-				a.timer = Action{Token: act.Token, After: a.now + act.After} // the moment, here
+			if a.timer.Token == 0 || a.now+act.Delay < a.timer.Delay {
+				a.timer = Action{Token: act.Token, Delay: a.now + act.Delay} // the moment, here
 			}
-		case ActWatch:
+		case ActWatchList:
 			asks = true
 		}
 	}
@@ -49,7 +49,7 @@
 		if token == 0 {
 			t.Fatal("no timer while the list is to be asked for")
 		}
-		a.now, a.timer = max(a.now, a.timer.After), Action{}
+		a.now, a.timer = max(a.now, a.timer.Delay), Action{}
 		if a.do(Event{Kind: EvTimer, Token: token}) {
 			return a.now
 		}
--- a/example_test.go
+++ b/example_test.go
@@ -11,9 +11,9 @@
 func Example() {
 	settings := forkline.Settings{
 		Copies:  1,
-		Classes: []forkline.Class{{Name: "read", Worth: 1, Aim: 300, GiveUp: 1000, Effect: forkline.Safe}},
+		Classes: []forkline.Class{{Name: "read", Value: 1, TargetLatency: 300, Timeout: 1000, Effect: forkline.Safe}},
 		Limits:  forkline.Limits{MaxAttempts: 3},
-		Safety:  forkline.Safety{AnswerSlack: 20, DrainGrace: 1000, ColdFrom: 0.2, Ramp: 10000, AskEvery: 10000},
+		Safety:  forkline.Safety{AnswerSlack: 20, DrainGrace: 1000, ColdCapacity: 0.2, RampTime: 10000, PollInterval: 10000},
 	}
 	now := 0.0 // milliseconds; a real sidecar reads its monotonic clock
 	b, err := forkline.New(settings, 42, now)
@@ -27,15 +27,15 @@
 		Servers: []forkline.ServerEntry{{Server: 1, Weight: 1}},
 	}, actions[:0])
 
-	actions = b.Handle(now, &forkline.Event{Kind: forkline.EvRequest, Request: 7, Due: 900}, actions[:0])
+	actions = b.Handle(now, &forkline.Event{Kind: forkline.EvRequest, Request: 7, Deadline: 900}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == forkline.ActSend {
-			fmt.Printf("send request %d to server %d, give up at %.0f ms\n", a.Request, a.Server, a.Until)
+			fmt.Printf("send request %d to server %d, give up at %.0f ms\n", a.Request, a.Server, a.Deadline)
 		}
 	}
 	now = 25
 	actions = b.Handle(now, &forkline.Event{
-		Kind: forkline.EvOutcome, Request: 7, Server: 1, Outcome: forkline.Error, Took: 25,
+		Kind: forkline.EvOutcome, Request: 7, Server: 1, Outcome: forkline.Error, Elapsed: 25,
 	}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == forkline.ActSend {
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -6,10 +6,10 @@
 
 // All times are in milliseconds.
 const (
-	// Most and MostPart bound what is held back: the first, or this share of the time left, whichever is less. It is also
+	// MaxMargin and MostPart bound what is held back: the first, or this share of the time left, whichever is less. It is also
 	// held where too little has been measured. Answers as late as that are past a class's aim anyhow.
-	Most     = 50.0
-	MostPart = 0.1
+	MaxMargin      = 50.0
+	MaxMarginShare = 0.1
 
 	way      = 5     // for the way there and back, which nothing on this side can measure, and for work that no delay shows
 	enough   = 16    // measured delays, from which on they are believed: those of a few calls
@@ -17,14 +17,14 @@
 	stale    = 60000 // what was measured longer ago says nothing about the core now
 )
 
-// Part is a part of a request's way through a sidecar on which it may wait for the core. One that meets its deadline may
+// Phase is a part of a request's way through a sidecar on which it may wait for the core. One that meets its deadline may
 // meet all of them, one after another.
-type Part int
+type Phase int
 
 const (
-	Taking    Part = iota // from the arrival of a request, or of an attempt's outcome, to its being taken up
+	Intake   Phase = iota // from the arrival of a request, or of an attempt's outcome, to its being taken up
 	Timer                 // by which a timer fires late
-	Answering             // from the decision on an answer to its first byte
+	Response              // from the decision on an answer to its first byte
 	parts
 )
 
@@ -38,22 +38,22 @@
 	last  float64 // when a delay was last measured
 }
 
-// Measured notes a delay of a part. The clock may be any that runs on; delays below 0 count as none.
-func (m *Margin) Measured(p Part, now, delay float64) {
+// Observe notes a delay of a part. The clock may be any that runs on; delays below 0 count as none.
+func (m *Margin) Observe(p Phase, now, delay float64) {
 	if now-m.last > stale {
 		*m = Margin{}
 	}
 	m.last = now
 	m.seen = min(m.seen+1, enough)
 	// More than can be held back need not be remembered, and would be for long.
-	if delay = min(delay, Most); delay >= m.decayed(p, now) {
+	if delay = min(delay, MaxMargin); delay >= m.decayed(p, now) {
 		m.worst[p], m.at[p] = max(delay, 0), now
 	}
 }
 
-// Of is what to hold back of the time that is left until a deadline. It is less than that, and at least 0.
-func (m *Margin) Of(left, now float64) float64 {
-	most := min(Most, MostPart*max(left, 0))
+// Reserve is what to hold back of the time that is left until a deadline. It is less than that, and at least 0.
+func (m *Margin) Reserve(left, now float64) float64 {
+	most := min(MaxMargin, MaxMarginShare*max(left, 0))
 	if m.seen < enough || now-m.last > stale {
 		return most
 	}
@@ -64,6 +64,6 @@
 	return min(sum, most)
 }
 
-func (m *Margin) decayed(p Part, now float64) float64 {
+func (m *Margin) decayed(p Phase, now float64) float64 {
 	return m.worst[p] * math.Exp2(min(0, m.at[p]-now)/halfLife)
 }
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -110,9 +110,9 @@
 
 func (f *fleet) policy() listwatch.Policy {
 	if f.pushed() {
-		return listwatch.Pushed
+		return listwatch.PushPolicy
 	}
-	return listwatch.Asked
+	return listwatch.PollPolicy
 }
 
 // speaks tells whether discovery answers and writes at all.
@@ -131,7 +131,7 @@
 	f.event = forkline.Event{Kind: forkline.EvList, List: forkline.ListCached, Servers: f.listAt(s, known)}
 	f.handle(t, &f.event)
 	if f.pushed() {
-		f.follow(t, listwatch.Event{Kind: listwatch.EvFollow})
+		f.follow(t, listwatch.Event{Kind: listwatch.EvStart})
 	}
 }
 
@@ -161,7 +161,7 @@
 // set puts an entry into a list. One that is gone stays in it as such, which the module takes as absent.
 func (f *fleet) set(s *service, list []forkline.ServerEntry, e *forkline.ServerEntry) {
 	at, _ := f.find(e.Server)
-	if old := &list[at-s.first]; e.State != forkline.Gone || old.Server == e.Server {
+	if old := &list[at-s.first]; e.State != forkline.Removed || old.Server == e.Server {
 		*old = *e
 	}
 }
@@ -169,7 +169,7 @@
 // ask is the module's wish to have its list watched.
 func (f *fleet) ask(t int32) {
 	if !f.pushed() {
-		f.follow(t, listwatch.Event{Kind: listwatch.EvAsk})
+		f.follow(t, listwatch.Event{Kind: listwatch.EvPoll})
 	}
 }
 
@@ -184,19 +184,19 @@
 	acts = tr.watcher.Handle(time.Duration(f.now), ev, acts[:0])
 	for _, a := range acts {
 		switch a.Kind {
-		case listwatch.ActCall:
+		case listwatch.ActStartCall:
 			f.callDiscovery(t, a.Call)
-		case listwatch.ActDrop:
+		case listwatch.ActCancelCall:
 			if tr.writes == a.Call {
 				tr.writes = 0
 			}
-		case listwatch.ActFailed:
+		case listwatch.ActReportFailure:
 			f.event = forkline.Event{Kind: forkline.EvList, List: forkline.ListFailed}
 			f.handle(t, &f.event)
 		}
 	}
 	f.watchActs = acts
-	if at, ok := tr.watcher.Next(); ok && (tr.tickAt == 0 || int64(at) < tr.tickAt) {
+	if at, ok := tr.watcher.NextTick(); ok && (tr.tickAt == 0 || int64(at) < tr.tickAt) {
 		tr.tickAt = int64(at)
 		f.at(tr.tickAt, evTick, t, tr.gen, uint64(at))
 	}
@@ -221,7 +221,7 @@
 		return
 	}
 	if !f.net.reaches(p.region, in.region) {
-		f.at(f.now+ns(f.policy().Dial), evListEnded, t, tr.gen, uint64(call))
+		f.at(f.now+ns(f.policy().DialTimeout), evListEnded, t, tr.gen, uint64(call))
 		return
 	}
 	f.at(f.now+(1+handshake)*f.net.delay(p.place, in.place, &f.disco.source), evAsk, t, tr.gen, uint64(call))
@@ -315,7 +315,7 @@
 	}
 	call, version := int(ev.arg>>32), int32(uint32(ev.arg))
 	f.follow(ev.id, listwatch.Event{Kind: listwatch.EvAnswered, Call: call})
-	if now := tr.watcher.Watching(); now != call {
+	if now := tr.watcher.ActiveCall(); now != call {
 		if tr.writes == call { // it was given up meanwhile: its connection is closed
 			tr.writes = 0
 			if now > tr.deadTo {
@@ -344,11 +344,11 @@
 func (f *fleet) delta(ev *event) {
 	tr := &f.tiers[ev.id]
 	call, version := int(ev.arg>>32), int32(uint32(ev.arg))
-	if tr.gen != ev.gen || tr.watcher.Watching() != call {
+	if tr.gen != ev.gen || tr.watcher.ActiveCall() != call {
 		return
 	}
 	f.heard(ev.id)
-	f.follow(ev.id, listwatch.Event{Kind: listwatch.EvAlive, Call: call})
+	f.follow(ev.id, listwatch.Event{Kind: listwatch.EvActivity, Call: call})
 	f.apply(ev.id, version, false)
 }
 
@@ -396,7 +396,7 @@
 // listEnded is a sidecar's hearing that a call failed or that its watch broke.
 func (f *fleet) listEnded(ev *event) {
 	if f.tiers[ev.id].gen == ev.gen {
-		f.follow(ev.id, listwatch.Event{Kind: listwatch.EvEnded, Call: int(ev.arg)})
+		f.follow(ev.id, listwatch.Event{Kind: listwatch.EvCallEnded, Call: int(ev.arg)})
 	}
 }
 
@@ -489,9 +489,9 @@
 		if !f.pushed() {
 			f.control.both(f, beatBytes)
 		}
-		if tr.watcher.Watching() == tr.writes {
+		if tr.watcher.ActiveCall() == tr.writes {
 			f.heard(t)
-			f.follow(t, listwatch.Event{Kind: listwatch.EvAlive, Call: tr.writes})
+			f.follow(t, listwatch.Event{Kind: listwatch.EvActivity, Call: tr.writes})
 		}
 	}
 	f.write(in, in.all)
--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -171,7 +171,7 @@
 	full := float64(len(e.held))+f.busy(e) >= float64(s.Slots)
 	drained := e.draining && f.now > e.drainAt+int64(f.exp.Sidecar.DrainGrace)
 	if full || drained || f.now >= a.until {
-		f.answer(ev.id, forkline.Full, e.place)
+		f.answer(ev.id, forkline.Rejected, e.place)
 		return
 	}
 	if c := &f.calls[a.call]; c.gen == a.callGen {
@@ -211,7 +211,7 @@
 		s.falls++
 		e.fallen = true
 		f.goDown(id, false)
-		f.note(id, forkline.Gone)
+		f.note(id, forkline.Removed)
 	}
 	return ratio > 1
 }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -174,7 +174,7 @@
 		ep := &f.endpoints[e]
 		ep.down++
 		if ep.up {
-			f.note(e, forkline.Gone)
+			f.note(e, forkline.Removed)
 		}
 		f.goDown(e, true)
 	}
@@ -213,7 +213,7 @@
 	if !e.up || !e.draining || e.gen != ev.gen {
 		return
 	}
-	f.note(ev.id, forkline.Gone)
+	f.note(ev.id, forkline.Removed)
 	f.goDown(ev.id, false)
 	e.gen++
 	e.knownAt, e.oldKnown = 0, e.knownAt
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -139,8 +139,8 @@
 func (f *fleet) take(t int32, class uint16, until int64, parent int32) {
 	tr := &f.tiers[t]
 	margin := &f.processes[tr.process].margin
-	held := int64(margin.Of(ms(until-f.now), ms(f.now)) * 1e6)
-	margin.Measured(deadline.Taking, ms(f.now), 0) // a hollow sidecar waits for no core
+	held := int64(margin.Reserve(ms(until-f.now), ms(f.now)) * 1e6)
+	margin.Observe(deadline.Intake, ms(f.now), 0) // a hollow sidecar waits for no core
 	id := f.newCall()
 	c := &f.calls[id]
 	*c = call{
@@ -156,7 +156,7 @@
 	f.asked(c)
 	f.at(c.endBy+min(ns(backstop), held/2), evBackstop, id, c.gen, 0)
 	f.event = forkline.Event{
-		Kind: forkline.EvRequest, Request: f.requestID(id), Class: class, Due: ms(c.endBy), Key: uint64(id),
+		Kind: forkline.EvRequest, Request: f.requestID(id), Class: class, Deadline: ms(c.endBy), Key: uint64(id),
 	}
 	f.handle(t, &f.event)
 }
@@ -186,10 +186,10 @@
 				f.callOff(f.calls[c].attempts[a.Attempt])
 			}
 		case forkline.ActTimer:
-			f.at(f.now+int64(a.After*1e6)+timerSlack, evTimer, t, tr.gen, a.Token)
-		case forkline.ActWatch:
+			f.at(f.now+int64(a.Delay*1e6)+timerSlack, evTimer, t, tr.gen, a.Token)
+		case forkline.ActWatchList:
 			f.ask(t)
-		case forkline.ActClose:
+		case forkline.ActCloseIdle:
 			e, _ := f.find(a.Server)
 			tr.conns[e-f.services[tr.service].first].idle = 0
 		}
@@ -228,7 +228,7 @@
 	a := &f.attempts[n]
 	*a = attempt{
 		call: id, tier: t, server: action.Server, gen: a.gen + 1, callGen: c.gen, number: uint16(len(c.attempts)),
-		child: -1, open: true, sentAt: f.now, until: int64(action.Until * 1e6),
+		child: -1, open: true, sentAt: f.now, until: int64(action.Deadline * 1e6),
 	}
 	c.attempts = append(c.attempts, n)
 	c.open++
@@ -248,7 +248,7 @@
 	}
 	f.sent(s, fresh)
 	f.at(a.until, evExpire, n, a.gen, 0)
-	whole := int64(action.Whole * 1e6)
+	whole := int64(action.LastByteBy * 1e6)
 	switch {
 	case whole > 0 && fresh && f.now+handshake*delay/(1+handshake) > whole: // its connection is up too late
 		f.answerAt(n, forkline.NotSent, max(whole, f.now))
@@ -324,7 +324,7 @@
 	tr, c := &f.tiers[a.tier], &f.calls[a.call]
 	target, _ := f.find(a.server)
 	k := &tr.conns[target-f.services[tr.service].first]
-	if o == forkline.OK || o == forkline.Error || o == forkline.Full {
+	if o == forkline.OK || o == forkline.Error || o == forkline.Rejected {
 		k.lastUsed = f.now
 		k.idle++
 	}
@@ -336,7 +336,7 @@
 	}
 	f.event = forkline.Event{
 		Kind: forkline.EvOutcome, Request: f.requestID(a.call), Attempt: a.number, Server: a.server, Outcome: o,
-		Took: ms(f.now - a.sentAt), Done: c.ended,
+		Elapsed: ms(f.now - a.sentAt), RequestDone: c.ended,
 	}
 	t, owner := a.tier, a.call
 	f.releaseAttempt(id)
@@ -388,7 +388,7 @@
 		c.wait += f.now - c.idleFrom
 	}
 	f.ended(c, s)
-	f.processes[f.tiers[c.tier].process].margin.Measured(deadline.Answering, ms(f.now), 0)
+	f.processes[f.tiers[c.tier].process].margin.Observe(deadline.Response, ms(f.now), 0)
 	if c.parent >= 0 {
 		if a := &f.attempts[c.parent]; a.gen == c.parGen && a.child == id {
 			a.wait += c.wait
@@ -453,7 +453,7 @@
 		s = refused
 	}
 	t := c.tier
-	f.event = forkline.Event{Kind: forkline.EvGone, Request: f.requestID(id)}
+	f.event = forkline.Event{Kind: forkline.EvClientGone, Request: f.requestID(id)}
 	f.finish(id, s)
 	f.handle(t, &f.event)
 }
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -185,7 +185,7 @@
 		f.arrive(ev)
 	case evTimer:
 		if tr := &f.tiers[ev.id]; tr.gen == ev.gen {
-			f.processes[tr.process].margin.Measured(deadline.Timer, ms(f.now), ms(timerSlack))
+			f.processes[tr.process].margin.Observe(deadline.Timer, ms(f.now), ms(timerSlack))
 			f.event = forkline.Event{Kind: forkline.EvTimer, Token: ev.arg}
 			f.handle(ev.id, &f.event)
 		}
--- a/internal/fleet/stand_in_test.go
+++ b/internal/fleet/stand_in_test.go
@@ -65,7 +65,7 @@
 	}
 	c := take(2)
 	at := f.attempts[f.calls[c].attempts[0]].server
-	f.send(front, &forkline.Action{Kind: forkline.ActSend, Request: f.requestID(c), Server: at, Until: ms(f.now) + 1000})
+	f.send(front, &forkline.Action{Kind: forkline.ActSend, Request: f.requestID(c), Server: at, Deadline: ms(f.now) + 1000})
 	f.until(11 * time.Second)
 	if f.rules.UnsafeRepeats != 1 {
 		t.Errorf("an unsafe call sent twice: %+v", f.rules)
@@ -79,7 +79,7 @@
 	f.at(f.now, evDrain, drained, f.endpoints[drained].gen, 0)
 	f.until(11*time.Second + 500*time.Millisecond) // told after 0.3 s; the grace is 0.75 s
 	c = take(0)
-	again := &forkline.Action{Kind: forkline.ActSend, Request: f.requestID(c), Server: at, Until: ms(f.now) + 1000}
+	again := &forkline.Action{Kind: forkline.ActSend, Request: f.requestID(c), Server: at, Deadline: ms(f.now) + 1000}
 	f.send(front, again)
 	if f.rules.DrainingSends != 0 {
 		t.Errorf("a send within the grace: %+v", f.rules)
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -141,15 +141,15 @@
 func (f *fleet) settings(s *service, front bool, rank int, at place) forkline.Settings {
 	side := &f.exp.Sidecar
 	set := forkline.Settings{
-		Copies: len(s.tiers), Rank: rank, Zone: int(at.zone), ListOnRequest: !f.exp.Discovery.Pushed,
+		Copies: len(s.tiers), Rank: rank, Zone: int(at.zone), PollList: !f.exp.Discovery.Pushed,
 		Classes: f.classes,
 		Limits: forkline.Limits{
-			MaxAttempts: side.MaxAttempts, Cancel: true, ConnIdle: ms(int64(side.ConnIdle)), Streams: 1,
+			MaxAttempts: side.MaxAttempts, CancelAttempts: true, ConnIdleTimeout: ms(int64(side.ConnIdle)), StreamsPerConn: 1,
 		},
 		Safety: forkline.Safety{
-			AnswerSlack: ms(ns(answerSlack)), DrainGrace: ms(int64(side.DrainGrace)), ColdFrom: side.ColdFrom,
-			Ramp: ms(int64(side.Ramp)), FallMultiple: side.FallMultiple, FallAfter: ms(int64(side.FallAfter)),
-			AskEvery: ms(int64(side.AskEvery)),
+			AnswerSlack: ms(ns(answerSlack)), DrainGrace: ms(int64(side.DrainGrace)), ColdCapacity: side.ColdFrom,
+			RampTime: ms(int64(side.Ramp)), OverloadMultiple: side.FallMultiple, OverloadWindow: ms(int64(side.FallAfter)),
+			PollInterval: ms(int64(side.AskEvery)),
 		},
 	}
 	set.Stages = s.height + 1
@@ -169,10 +169,10 @@
 			return nil, fmt.Errorf("%w: class %q: effect %q", errShape, c.Name, c.Effect)
 		}
 		m := forkline.Class{
-			Name: c.Name, Worth: c.Worth, Aim: ms(int64(c.Aim)), GiveUp: ms(int64(c.GiveUp)), Effect: effect,
+			Name: c.Name, Value: c.Worth, TargetLatency: ms(int64(c.Aim)), Timeout: ms(int64(c.GiveUp)), Effect: effect,
 		}
 		if effect == forkline.Keyed {
-			m.Window = m.GiveUp // all endpoints of a service remember a key for as long as its call may last
+			m.DedupWindow = m.Timeout // all endpoints of a service remember a key for as long as its call may last
 		}
 		all = append(all, m)
 	}
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -11,27 +11,27 @@
 
 // Policy holds the times of one way to follow a list.
 type Policy struct {
-	Silence time.Duration // a watch without a sign of life for so long is dead
-	Dial    time.Duration // a connection has to be up within
-	Overdue time.Duration // an unanswered call counts as failed then, and waits on beside the next
-	GiveUp  time.Duration // an unanswered call ends then, unless it is the oldest one out
-	Hold    time.Duration // and the oldest ends then: where calls are handled in turn, its turn comes first
-	Pause   time.Duration // pushed only: from a failure to the next call, give or take a half
+	SilenceTimeout    time.Duration // a watch without a sign of life for so long is dead
+	DialTimeout       time.Duration // a connection has to be up within
+	SoftTimeout       time.Duration // an unanswered call counts as failed then, and waits on beside the next
+	CallTimeout       time.Duration // an unanswered call ends then, unless it is the oldest one out
+	OldestCallTimeout time.Duration // and the oldest ends then: where calls are handled in turn, its turn comes first
+	RetryDelay        time.Duration // pushed only: from a failure to the next call, give or take a half
 }
 
-// Asked is the policy where discovery is asked. A watch beats every 2 s, and what a silent one misses counts as told
+// PollPolicy is the policy where discovery is asked. A watch beats every 2 s, and what a silent one misses counts as told
 // 6 s after. A call that hangs is overdue with time left for another; sooner, calls that wait their turn would be
 // repeated, which a crowded discovery cannot bear.
-var Asked = Policy{
-	Silence: 3 * time.Second, Dial: 2 * time.Second, Overdue: 1700 * time.Millisecond,
-	GiveUp: 8 * time.Second, Hold: 30 * time.Second,
+var PollPolicy = Policy{
+	SilenceTimeout: 3 * time.Second, DialTimeout: 2 * time.Second, SoftTimeout: 1700 * time.Millisecond,
+	CallTimeout: 8 * time.Second, OldestCallTimeout: 30 * time.Second,
 }
 
-// Pushed is the policy where an agent pushes. What the agent has counts as told at once, whether or not a watch is open:
+// PushPolicy is the policy where an agent pushes. What the agent has counts as told at once, whether or not a watch is open:
 // it is nearby, and serves at once or not at all.
-var Pushed = Policy{
-	Silence: 3 * time.Second, Dial: 500 * time.Millisecond, Overdue: 500 * time.Millisecond,
-	GiveUp: 4 * time.Second, Hold: 30 * time.Second, Pause: 200 * time.Millisecond,
+var PushPolicy = Policy{
+	SilenceTimeout: 3 * time.Second, DialTimeout: 500 * time.Millisecond, SoftTimeout: 500 * time.Millisecond,
+	CallTimeout: 4 * time.Second, OldestCallTimeout: 30 * time.Second, RetryDelay: 200 * time.Millisecond,
 }
 
 // EventKind tells what a Watcher hears.
@@ -39,13 +39,13 @@
 
 // The events.
 const (
-	EvAsk      EventKind = iota + 1 // the list is to be watched; nothing to do if it is, where discovery is now
-	EvFollow                        // the list is to be watched from now on
-	EvAnswered                      // Call: it was answered, and is a watch from now on
-	EvAlive                         // Call: a whole object or a beat came on it
-	EvEnded                         // Call: it failed, or its watch broke
-	EvMoved                         // the next calls go to another address
-	EvTick                          // time has passed
+	EvPoll           EventKind = iota + 1 // the list is to be watched; nothing to do if it is, where discovery is now
+	EvStart                               // the list is to be watched from now on
+	EvAnswered                            // Call: it was answered, and is a watch from now on
+	EvActivity                            // Call: a whole object or a beat came on it
+	EvCallEnded                           // Call: it failed, or its watch broke
+	EvAddressChanged                      // the next calls go to another address
+	EvTick                                // time has passed
 )
 
 // Event is one of them. Calls are numbered from 1 in the order in which they are begun.
@@ -59,9 +59,9 @@
 
 // The actions.
 const (
-	ActCall   ActionKind = iota + 1 // Call: begin it, where discovery is now
-	ActDrop                         // Call: end it, whether answered or not; its EvEnded may come or not
-	ActFailed                       // there is no watch, and the latest call is not to be waited for
+	ActStartCall     ActionKind = iota + 1 // Call: begin it, where discovery is now
+	ActCancelCall                          // Call: end it, whether answered or not; its EvEnded may come or not
+	ActReportFailure                       // there is no watch, and the latest call is not to be waited for
 )
 
 // Action is one of them.
@@ -97,31 +97,31 @@
 // NewWatcher returns one that has no call out.
 func NewWatcher(p Policy, random func() float64) *Watcher { return &Watcher{policy: p, random: random} }
 
-// Watching is the number of the call that is listened to; 0 if there is none.
-func (w *Watcher) Watching() int { return w.watch }
+// ActiveCall is the number of the call that is listened to; 0 if there is none.
+func (w *Watcher) ActiveCall() int { return w.watch }
 
 // Handle takes one event and appends the actions that answer it.
 func (w *Watcher) Handle(now time.Duration, ev Event, actions []Action) []Action {
 	w.now, w.acts = max(w.now, now), actions
 	switch ev.Kind {
-	case EvAsk:
+	case EvPoll:
 		if w.watch == 0 || w.moved {
 			w.begin()
 		}
-	case EvFollow:
+	case EvStart:
 		if !w.follows {
 			w.follows = true
 			w.begin()
 		}
 	case EvAnswered:
 		w.answered(ev.Call)
-	case EvAlive:
+	case EvActivity:
 		if ev.Call == w.watch {
 			w.signAt = w.now
 		}
-	case EvEnded:
+	case EvCallEnded:
 		w.ended(ev.Call)
-	case EvMoved:
+	case EvAddressChanged:
 		w.dropCalls()
 		w.moved, w.again = w.watch != 0, false
 		if w.follows {
@@ -133,20 +133,20 @@
 	return w.acts
 }
 
-// Next is when the Watcher has to hear EvTick, unless an event comes before; ok is false if it need not.
-func (w *Watcher) Next() (at time.Duration, ok bool) {
+// NextTick is when the Watcher has to hear EvTick, unless an event comes before; ok is false if it need not.
+func (w *Watcher) NextTick() (at time.Duration, ok bool) {
 	earliest := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
 	if w.watch != 0 {
-		earliest(w.signAt + w.policy.Silence)
+		earliest(w.signAt + w.policy.SilenceTimeout)
 	}
 	for i, c := range w.calls {
 		earliest(c.begun + w.patience(i))
 		if c.number == w.latest && !w.failed {
-			earliest(c.begun + w.policy.Overdue)
+			earliest(c.begun + w.policy.SoftTimeout)
 		}
 	}
 	if w.again {
@@ -158,9 +158,9 @@
 // patience is how long a waiting call may go on.
 func (w *Watcher) patience(place int) time.Duration {
 	if place == 0 {
-		return w.policy.Hold
+		return w.policy.OldestCallTimeout
 	}
-	return w.policy.GiveUp
+	return w.policy.CallTimeout
 }
 
 func (w *Watcher) act(kind ActionKind, call int) {
@@ -171,7 +171,7 @@
 	w.begun++
 	w.latest, w.failed, w.again = w.begun, false, false
 	w.calls = append(w.calls, call{w.begun, w.now})
-	w.act(ActCall, w.begun)
+	w.act(ActStartCall, w.begun)
 }
 
 // answered makes a call the watch; whatever else is out has become needless.
@@ -181,7 +181,7 @@
 	}
 	w.dropCalls()
 	if w.watch != 0 {
-		w.act(ActDrop, w.watch)
+		w.act(ActCancelCall, w.watch)
 	}
 	w.watch, w.moved, w.signAt = number, false, w.now
 	w.latest, w.failed, w.again = number, false, false
@@ -205,24 +205,24 @@
 		return
 	}
 	w.failed = true
-	w.act(ActFailed, w.latest)
+	w.act(ActReportFailure, w.latest)
 	if w.follows {
-		w.again, w.next = true, w.now+w.policy.Pause/2+time.Duration(w.random()*float64(w.policy.Pause))
+		w.again, w.next = true, w.now+w.policy.RetryDelay/2+time.Duration(w.random()*float64(w.policy.RetryDelay))
 	}
 }
 
 func (w *Watcher) tick() {
-	if w.watch != 0 && w.now >= w.signAt+w.policy.Silence {
-		w.act(ActDrop, w.watch)
+	if w.watch != 0 && w.now >= w.signAt+w.policy.SilenceTimeout {
+		w.act(ActCancelCall, w.watch)
 		w.ended(w.watch)
 	}
 	for i := 0; i < len(w.calls); i++ {
 		c := w.calls[i]
-		if c.number == w.latest && w.now >= c.begun+w.policy.Overdue {
+		if c.number == w.latest && w.now >= c.begun+w.policy.SoftTimeout {
 			w.fail()
 		}
 		if w.now >= c.begun+w.patience(i) {
-			w.act(ActDrop, c.number)
+			w.act(ActCancelCall, c.number)
 			w.ended(c.number)
 			i--
 		}
@@ -234,7 +234,7 @@
 
 func (w *Watcher) dropCalls() {
 	for _, c := range w.calls {
-		w.act(ActDrop, c.number)
+		w.act(ActCancelCall, c.number)
 	}
 	w.calls = w.calls[:0]
 }
--- a/internal/probe/tier.go
+++ b/internal/probe/tier.go
@@ -41,9 +41,9 @@
 func newTier(n, copies int) (*tier, error) {
 	b, err := forkline.New(forkline.Settings{
 		Copies:  copies,
-		Classes: []forkline.Class{{Name: "read", Worth: 1, Aim: aim, GiveUp: giveUp, Effect: forkline.Safe}},
-		Limits:  forkline.Limits{MaxAttempts: 3, Cancel: true, ConnIdle: 10000},
-		Safety:  forkline.Safety{ColdFrom: 0.3, Ramp: 8000, AskEvery: 10000},
+		Classes: []forkline.Class{{Name: "read", Value: 1, TargetLatency: aim, Timeout: giveUp, Effect: forkline.Safe}},
+		Limits:  forkline.Limits{MaxAttempts: 3, CancelAttempts: true, ConnIdleTimeout: 10000},
+		Safety:  forkline.Safety{ColdCapacity: 0.3, RampTime: 8000, PollInterval: 10000},
 	}, 1, 1e6)
 	if err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 		case forkline.ActRefuse, forkline.ActFail:
 			t.ended++
 		case forkline.ActTimer:
-			t.timers = append(t.timers, timer{t.now + a.After, a.Token})
+			t.timers = append(t.timers, timer{t.now + a.Delay, a.Token})
 		}
 	}
 }
@@ -78,7 +78,7 @@
 func (t *tier) request() {
 	t.last++
 	t.taken++
-	t.handle(&forkline.Event{Kind: forkline.EvRequest, Request: t.last, Due: t.now + giveUp})
+	t.handle(&forkline.Event{Kind: forkline.EvRequest, Request: t.last, Deadline: t.now + giveUp})
 }
 
 // arrive moves the clock to the next call and brings it, with all timers and answers that come before.
@@ -96,7 +96,7 @@
 			t.out = t.out[:copy(t.out, t.out[1:])]
 			t.now = max(t.now, a.at)
 			t.handle(&forkline.Event{
-				Kind: forkline.EvOutcome, Request: a.request, Server: a.server, Outcome: forkline.OK, Took: took, Done: true,
+				Kind: forkline.EvOutcome, Request: a.request, Server: a.server, Outcome: forkline.OK, Elapsed: took, RequestDone: true,
 			})
 		case first >= 0:
 			due := t.timers[first]
@@ -126,6 +126,6 @@
 // change brings a change of one entry: 0 drains it, 1 takes it away, 2 has it come again.
 func (t *tier) change(entry, step int) {
 	e := t.entries[entry]
-	e.State = [...]forkline.ServerState{forkline.Draining, forkline.Gone, forkline.Ready}[step]
+	e.State = [...]forkline.ServerState{forkline.Draining, forkline.Removed, forkline.Ready}[step]
 	t.handle(&forkline.Event{Kind: forkline.EvList, List: forkline.ListDelta, Servers: []forkline.ServerEntry{e}})
 }
--- a/internal/rig/discovery.go
+++ b/internal/rig/discovery.go
@@ -163,7 +163,7 @@
 
 // list is the whole list; the mutex is held.
 func (d *Discovery) list() sidecar.List {
-	l := sidecar.List{Rev: d.rev, All: true, Targets: []sidecar.Target{}}
+	l := sidecar.List{Rev: d.rev, Full: true, Targets: []sidecar.Target{}}
 	for _, uid := range d.order {
 		if t := d.targets[uid]; t.State != "Gone" {
 			l.Targets = append(l.Targets, t)
--- a/internal/rig/discovery_test.go
+++ b/internal/rig/discovery_test.go
@@ -95,7 +95,7 @@
 	}
 	_, text := get(t, d, "")
 	l, err := sidecar.ParseList(text)
-	if err != nil || !l.All || l.Rev != 2 || len(l.Targets) != 2 || l.Targets[0].UID != "s-1" || l.Targets[1].State != "Terminating" {
+	if err != nil || !l.Full || l.Rev != 2 || len(l.Targets) != 2 || l.Targets[0].UID != "s-1" || l.Targets[1].State != "Terminating" {
 		t.Errorf("%+v, %v", l, err)
 	}
 	if status, _ := get(t, d, "?since=often"); status != http.StatusBadRequest {
@@ -108,11 +108,11 @@
 	d := discovery(t)
 	whole, known, ahead := watch(t, d, 0), watch(t, d, 1), watch(t, d, 99)
 	for _, r := range []*bufio.Reader{whole, ahead} {
-		if l := next(t, r); !l.All || l.Rev != 1 || len(l.Targets) != 2 {
+		if l := next(t, r); !l.Full || l.Rev != 1 || len(l.Targets) != 2 {
 			t.Errorf("first object %+v", l)
 		}
 	}
-	if l := next(t, known); l.All || l.Rev != 1 || len(l.Targets) != 0 {
+	if l := next(t, known); l.Full || l.Rev != 1 || len(l.Targets) != 0 {
 		t.Errorf("first object for one that knows all: %+v", l)
 	}
 	for rev := int64(2); rev < 5; rev++ {
@@ -120,7 +120,7 @@
 			t.Fatal(err)
 		}
 		for _, r := range []*bufio.Reader{whole, known, ahead} {
-			if l := next(t, r); l.All || l.Rev != rev || len(l.Targets) != 1 || l.Targets[0].State != "Terminating" {
+			if l := next(t, r); l.Full || l.Rev != rev || len(l.Targets) != 1 || l.Targets[0].State != "Terminating" {
 				t.Errorf("change %+v", l)
 			}
 		}
@@ -151,8 +151,8 @@
 			t.Fatal(err)
 		}
 	}
-	if l := next(t, watch(t, d, 5)); !l.All || l.Rev != logMost+1 {
-		t.Errorf("all %v, version %d", l.All, l.Rev)
+	if l := next(t, watch(t, d, 5)); !l.Full || l.Rev != logMost+1 {
+		t.Errorf("all %v, version %d", l.Full, l.Rev)
 	}
 }
 
--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -16,7 +16,7 @@
 	const most = 4
 	release := make(chan struct{})
 	cfg := config(t, script(t, func(n int, c net.Conn, r *http.Request) bool { <-release; return echo(n, c, r) }).Addr().String())
-	cfg.Site.Settings.Classes[0].GiveUp = 2 * float64(long.Milliseconds())
+	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds())
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -78,33 +78,33 @@
 // beside what the process holds by itself, also at the least limit. At the end of a call's time the next is begun first.
 func TestReservedCoversCallsToASilentDiscovery(t *testing.T) {
 	const own = 14 // seen in the program at its limit: runtime, standard streams, listener, configuration
-	for name, p := range map[string]listwatch.Policy{"asked": listwatch.Asked, "pushed": listwatch.Pushed} {
+	for name, p := range map[string]listwatch.Policy{"asked": listwatch.PollPolicy, "pushed": listwatch.PushPolicy} {
 		random := func() float64 { return 0 } // the shortest pauses
 		w := listwatch.NewWatcher(p, random)
-		kind := listwatch.EvAsk
-		if p.Pause > 0 {
-			kind = listwatch.EvFollow
+		kind := listwatch.EvPoll
+		if p.RetryDelay > 0 {
+			kind = listwatch.EvStart
 		}
 		out, most := 0, 0
 		hear := func(now time.Duration, ev listwatch.Event) {
 			for _, a := range w.Handle(now, ev, nil) {
 				switch a.Kind {
-				case listwatch.ActCall:
+				case listwatch.ActStartCall:
 					out++
-				case listwatch.ActDrop:
+				case listwatch.ActCancelCall:
 					out--
 				}
 				most = max(most, out)
 			}
 		}
 		for now := time.Duration(0); now < time.Minute; now += time.Millisecond {
-			if now == 0 || p.Pause == 0 && now%time.Second == 0 { // the module's shortest round
+			if now == 0 || p.RetryDelay == 0 && now%time.Second == 0 { // the module's shortest round
 				hear(now, listwatch.Event{Kind: kind})
 			}
 			hear(now, listwatch.Event{Kind: listwatch.EvTick})
 		}
-		if most < 2 || own+most > reserved(LeastSockets) {
-			t.Errorf("%s: %d calls wait, %d descriptors are reserved", name, most, reserved(LeastSockets))
+		if most < 2 || own+most > reserved(MinSockets) {
+			t.Errorf("%s: %d calls wait, %d descriptors are reserved", name, most, reserved(MinSockets))
 		}
 		t.Logf("%s: %d calls", name, most)
 	}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -29,7 +29,7 @@
 // List is what discovery tells: a whole list or changes.
 type List struct {
 	Rev     int64    `json:"rev"`
-	All     bool     `json:"all"`
+	Full    bool     `json:"all"`
 	Targets []Target `json:"targets"`
 }
 
@@ -46,7 +46,7 @@
 }
 
 var states = map[string]forkline.ServerState{
-	"Ready": forkline.Ready, "Terminating": forkline.Draining, "Gone": forkline.Gone,
+	"Ready": forkline.Ready, "Terminating": forkline.Draining, "Gone": forkline.Removed,
 }
 
 // ParseList reads one list and checks each line of it.
@@ -59,7 +59,7 @@
 		if _, ok := states[t.State]; !ok || t.UID == "" {
 			return l, fmt.Errorf("targets[%d]: uid %q or state %q is unknown", i, t.UID, t.State)
 		}
-		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && states[t.State] != forkline.Gone {
+		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && states[t.State] != forkline.Removed {
 			return l, fmt.Errorf("targets[%d]: endpoint: %w", i, err)
 		}
 	}
@@ -68,7 +68,7 @@
 
 // changed is a list with changes carried out.
 func (l List) changed(by List) List {
-	all := List{Rev: by.Rev, All: true}
+	all := List{Rev: by.Rev, Full: true}
 	told := slices.Concat(l.Targets, by.Targets)
 	last := make(map[string]int, len(told))
 	for i, t := range told {
@@ -169,7 +169,7 @@
 	defer d.mu.Unlock()
 	moved := d.addr != addr
 	if d.addr = addr; moved {
-		d.handle(listwatch.Event{Kind: listwatch.EvMoved})
+		d.handle(listwatch.Event{Kind: listwatch.EvAddressChanged})
 	}
 	return moved
 }
@@ -179,7 +179,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.base = ctx
-	d.handle(listwatch.Event{Kind: listwatch.EvFollow})
+	d.handle(listwatch.Event{Kind: listwatch.EvStart})
 }
 
 // once has the list watched, unless it is, and waits until the call and its watch are over.
@@ -187,7 +187,7 @@
 	d.mu.Lock()
 	d.base = ctx
 	before := d.begun
-	d.handle(listwatch.Event{Kind: listwatch.EvAsk})
+	d.handle(listwatch.Event{Kind: listwatch.EvPoll})
 	c := d.begun
 	d.mu.Unlock()
 	if c != before {
@@ -211,20 +211,20 @@
 	d.acts = d.watcher.Handle(time.Since(d.start), ev, d.acts[:0])
 	for _, a := range d.acts {
 		switch a.Kind {
-		case listwatch.ActCall:
+		case listwatch.ActStartCall:
 			ctx, end := context.WithCancel(d.base)
 			d.begun = &watchCall{number: a.Call, end: end, done: make(chan struct{})}
 			d.calls[a.Call] = d.begun
 			go d.run(ctx, d.begun, d.addr, d.rev)
-		case listwatch.ActDrop:
+		case listwatch.ActCancelCall:
 			if c := d.calls[a.Call]; c != nil {
 				c.end()
 			}
-		case listwatch.ActFailed:
+		case listwatch.ActReportFailure:
 			d.failed()
 		}
 	}
-	if at, ok := d.watcher.Next(); ok {
+	if at, ok := d.watcher.NextTick(); ok {
 		d.timer.Reset(at - time.Since(d.start))
 	} else {
 		d.timer.Stop()
@@ -245,7 +245,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.calls, c.number)
-	d.handle(listwatch.Event{Kind: listwatch.EvEnded, Call: c.number})
+	d.handle(listwatch.Event{Kind: listwatch.EvCallEnded, Call: c.number})
 	close(c.done)
 }
 
@@ -256,7 +256,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.handle(listwatch.Event{Kind: kind, Call: number})
-	if d.watcher.Watching() != number {
+	if d.watcher.ActiveCall() != number {
 		return errOvertaken
 	}
 	f()
@@ -267,7 +267,7 @@
 func (d *discovery) watch(ctx context.Context, number int, addr string, rev int64) error {
 	dial := d.dial
 	if dial == nil {
-		dialer := net.Dialer{Timeout: d.policy.Dial}
+		dialer := net.Dialer{Timeout: d.policy.DialTimeout}
 		dial = func(ctx context.Context, addr string) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", addr) }
 	}
 	c, err := dial(ctx, addr)
@@ -299,7 +299,7 @@
 	if err != nil {
 		return err
 	}
-	alive := func() { d.hear(number, listwatch.EvAlive, func() {}) } // one that is overtaken ends by itself
+	alive := func() { d.hear(number, listwatch.EvActivity, func() {}) } // one that is overtaken ends by itself
 	for objects := (&objects{r: bufio.NewReader(res.Body), alive: alive}); ; {
 		text, err := objects.next()
 		if err != nil {
@@ -309,7 +309,7 @@
 		if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
-		if err := d.hear(number, listwatch.EvAlive, func() { d.rev = l.Rev; d.tell(l) }); err != nil {
+		if err := d.hear(number, listwatch.EvActivity, func() { d.rev = l.Rev; d.tell(l) }); err != nil {
 			return err
 		}
 	}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -23,7 +23,7 @@
 // unhurried is a policy of real time that waits for as long as a busy machine may take, but for a silent watch.
 func unhurried(silence time.Duration) listwatch.Policy {
 	return listwatch.Policy{
-		Silence: silence, Dial: long, Overdue: long, GiveUp: long, Hold: long, Pause: listwatch.Pushed.Pause,
+		SilenceTimeout: silence, DialTimeout: long, SoftTimeout: long, CallTimeout: long, OldestCallTimeout: long, RetryDelay: listwatch.PushPolicy.RetryDelay,
 	}
 }
 
@@ -186,14 +186,14 @@
 		cfg := config(t)
 		cfg.Seed, cfg.Discovery = uint64(i), "a:1"
 		set := &cfg.Site.Settings
-		set.Copies, set.Rank, set.ListOnRequest = copies, i, asked
+		set.Copies, set.Rank, set.PollList = copies, i, asked
 		l, err := newLoop(&cfg, newUpstream(set.Limits, 0, 4))
 		if err != nil {
 			t.Fatal(err)
 		}
 		d := newDiscovery(&cfg, l)
 		d.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-			return services[addr].dial(ctx, i, d.policy.Dial)
+			return services[addr].dial(ctx, i, d.policy.DialTimeout)
 		}
 		l.watch = func() { go d.once(ctx) }
 		go l.run()
@@ -326,7 +326,7 @@
 	cfg.Site.Settings.Copies, cfg.Site.Settings.Rank = many, many-1
 	addr := script(t, echo).Addr().String()
 	for i := range many {
-		cfg.Known.Targets = append(cfg.Known.Targets,
+		cfg.InitialList.Targets = append(cfg.InitialList.Targets,
 			Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", Kind: "k", State: "Ready"})
 	}
 	s := start(t, cfg)
@@ -345,7 +345,7 @@
 	}
 	serves("known")
 	half := List{}
-	for i, target := range cfg.Known.Targets {
+	for i, target := range cfg.InitialList.Targets {
 		if i%2 == 0 {
 			target.State = "Terminating"
 		}
@@ -356,7 +356,7 @@
 		t.Errorf("%d listed and %d usable, want %d and %d", all, usable, many, many/2)
 	}
 	serves("half")
-	text, err := json.Marshal(List{Rev: 3, All: true, Targets: cfg.Known.Targets})
+	text, err := json.Marshal(List{Rev: 3, Full: true, Targets: cfg.InitialList.Targets})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -214,9 +214,9 @@
 	c.turnedAway = true
 	switch {
 	case !before:
-		return forkline.Full, nil, keep
+		return forkline.Rejected, nil, keep
 	case out.safe:
-		return forkline.Full, nil, false
+		return forkline.Rejected, nil, false
 	}
 	return forkline.Reset, nil, false
 }
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -104,7 +104,7 @@
 		open       int
 	}{
 		"keyed":  {want: forkline.Reset},
-		"safe":   {safe: true, want: forkline.Full},
+		"safe":   {safe: true, want: forkline.Rejected},
 		"unsafe": {once: true, want: forkline.OK, open: 2}, // it goes on another connection
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -116,7 +116,7 @@
 				return true
 			})
 			u := pool(ln.Addr().String(), 4)
-			if got, _ := attemptOn(u, long); got != forkline.Full {
+			if got, _ := attemptOn(u, long); got != forkline.Rejected {
 				t.Fatalf("outcome %v of the first request", got)
 			}
 			first := u.find(1).idle[0]
@@ -194,7 +194,7 @@
 		t.Fatal(err)
 	}
 	for i, mails := range []int{3, 1} { // it waits, it is up, it is over; on a connection that is open, the last
-		l.send(&call{out: *get(), reply: func(answer) {}}, &forkline.Action{Kind: forkline.ActSend, Server: 1, Until: l.now() + 1e6})
+		l.send(&call{out: *get(), reply: func(answer) {}}, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: l.now() + 1e6})
 		for range mails {
 			(<-l.mail)()
 		}
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -86,7 +86,7 @@
 	}
 	k.event.Tenant = tenant
 	c := &t.set.Classes[k.event.Class]
-	wait := min(c.GiveUp/1000, k.patience)
+	wait := min(c.Timeout/1000, k.patience)
 	k.held = m.hold(1000 * wait)
 	k.wait = 1000*wait - k.held
 	k.safe, k.out.once = c.Effect == forkline.Safe, c.Effect == forkline.Unsafe
@@ -177,7 +177,7 @@
 		return answer{}, false
 	}
 	k.left = c.hasLeft
-	f.loop.post(func() { f.loop.margin.measured(deadline.Taking, arrived); f.loop.take(k) })
+	f.loop.post(func() { f.loop.margin.measured(deadline.Intake, arrived); f.loop.take(k) })
 	if c.leaves() {
 		select {
 		case a := <-answered:
@@ -251,7 +251,7 @@
 		hint = 0
 	}
 	k = &call{
-		event: forkline.Event{Hint: hint / 1000}, id: h.Get("X-Request-Id"),
+		event: forkline.Event{WorkHint: hint / 1000}, id: h.Get("X-Request-Id"),
 		class: name, tenant: h.Get("X-Tenant"), method: method, keyed: keyed, patience: patience,
 	}
 	if cookie, err := (&http.Request{Header: h}).Cookie("obj"); err == nil {
--- a/internal/sidecar/leaving_test.go
+++ b/internal/sidecar/leaving_test.go
@@ -172,7 +172,7 @@
 				t.Run(fmt.Sprint(way, "/", behind, "/full ", full), func(t *testing.T) {
 					addr, came := noting(t)
 					cfg := patient(t, addr)
-					cfg.Known.Targets[0].State = "Terminating"
+					cfg.InitialList.Targets[0].State = "Terminating"
 					s, arrive := watched(t, cfg, nil)
 					c := arrive("left")
 					c.send("GET", "read", "")
@@ -184,7 +184,7 @@
 					io.WriteString(c, strings.Repeat("x", n))
 					c.leaves(t, leave)
 					z.do(func() {
-						target := cfg.Known.Targets[0]
+						target := cfg.InitialList.Targets[0]
 						target.State = "Ready"
 						s.loop.list(List{Targets: []Target{target}}, forkline.ListDelta)
 					})
@@ -202,7 +202,7 @@
 func TestManyLeaveWhileQueued(t *testing.T) {
 	addr, came := noting(t)
 	cfg := patient(t, addr)
-	cfg.Known.Targets[0].State = "Terminating"
+	cfg.InitialList.Targets[0].State = "Terminating"
 	s, arrive := watched(t, cfg, nil)
 	for decided, end := 0, time.Now().Add(long); decided < 50; {
 		if time.Now().After(end) {
@@ -215,7 +215,7 @@
 		z := seize(s)
 		c.leaves(t, closes)
 		z.do(func() {
-			target := cfg.Known.Targets[0]
+			target := cfg.InitialList.Targets[0]
 			target.State = "Ready"
 			s.loop.list(List{Targets: []Target{target}}, forkline.ListDelta)
 			for _, c := range s.loop.calls {
@@ -295,7 +295,7 @@
 		}
 	}()
 	cfg := patient(t, ln.Addr().String())
-	cfg.Site.Settings.Classes[1].Aim, cfg.Site.Settings.Classes[1].GiveUp = 100000, 100000
+	cfg.Site.Settings.Classes[1].TargetLatency, cfg.Site.Settings.Classes[1].Timeout = 100000, 100000
 	s, arrive := watched(t, cfg, func(s *Sidecar) { s.loop.up.hold = time.Hour })
 	c := arrive("left")
 	c.send("POST", "pay", "")
@@ -453,13 +453,13 @@
 // loop has heard of either.
 func TestTheIDOfOneThatLeftIsFree(t *testing.T) {
 	cfg := patient(t, "127.0.0.1:1")
-	cfg.Known.Targets[0].State = "Terminating"
+	cfg.InitialList.Targets[0].State = "Terminating"
 	s := start(t, cfg)
 	statuses := make(chan int, 10)
 	request := func() (*call, *bool) {
 		left := false
 		return &call{
-			id: "id", event: forkline.Event{Due: s.loop.now() + 1e6}, left: func() bool { return left },
+			id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, left: func() bool { return left },
 			reply: func(a answer) { statuses <- a.status },
 		}, &left
 	}
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -45,7 +45,7 @@
 func (c *call) hasLeft() bool { return c.left != nil && c.left() }
 
 // due tells the call when it arrived.
-func (c *call) due(arrived float64) { c.event.Due = arrived + c.wait }
+func (c *call) due(arrived float64) { c.event.Deadline = arrived + c.wait }
 
 // due is one thing to do at a time: a timer of the module's, or the backstop of a call.
 type due struct {
@@ -120,7 +120,7 @@
 	l.margin.loop = l
 	l.limited = cfg.Site.Settings.Stage == 0
 	l.ran, l.remember = newRemembered(), rememberTime(&cfg.Site.Settings)
-	l.comeBack = millis(cfg.Site.Settings.Limits.ComeBack())
+	l.comeBack = millis(cfg.Site.Settings.Limits.RetryAfter())
 	var err error
 	l.balancer, err = forkline.New(l.settings(cfg.Site.Settings), cfg.Seed, l.now())
 	return l, err
@@ -128,10 +128,10 @@
 
 // settings are those that the module is told.
 func (l *loop) settings(set forkline.Settings) forkline.Settings {
-	set.Limits.Probes = false // this sidecar sends none
-	set.Limits.ConnIdle = float64(idleLimit(set.Limits).Microseconds()) / 1000
-	if set.Limits.MaxOpen == 0 || set.Limits.MaxOpen > l.up.most {
-		set.Limits.MaxOpen = l.up.most // each open request may need a connection
+	set.Limits.Probing = false // this sidecar sends none
+	set.Limits.ConnIdleTimeout = float64(idleLimit(set.Limits).Microseconds()) / 1000
+	if set.Limits.MaxOpenRequests == 0 || set.Limits.MaxOpenRequests > l.up.most {
+		set.Limits.MaxOpenRequests = l.up.most // each open request may need a connection
 	}
 	return set
 }
@@ -228,7 +228,7 @@
 			l.send(c, a)
 		}
 	case forkline.ActRefuse:
-		l.finish(c, answer{status: statusRefused, retryAfter: millis(a.After)})
+		l.finish(c, answer{status: statusRefused, retryAfter: millis(a.Delay)})
 	case forkline.ActFail:
 		l.finish(c, answer{status: statusFailed})
 	case forkline.ActCancel:
@@ -236,10 +236,10 @@
 			c.attempts[a.Attempt].callOff()
 		}
 	case forkline.ActTimer:
-		heap.Push(&l.agenda, &due{at: l.now() + a.After, token: a.Token})
-	case forkline.ActWatch:
+		heap.Push(&l.agenda, &due{at: l.now() + a.Delay, token: a.Token})
+	case forkline.ActWatchList:
 		l.watch()
-	case forkline.ActClose:
+	case forkline.ActCloseIdle:
 		l.up.closeAll(a.Server)
 	case forkline.ActLog:
 		slog.Info(a.Text)
@@ -301,7 +301,7 @@
 // awaitEnd sets a call's backstop.
 func (l *loop) awaitEnd(c *call) {
 	if c.backstop == nil {
-		c.backstop = &due{at: c.event.Due + min(float64(backstop.Milliseconds()), c.held/2), call: c}
+		c.backstop = &due{at: c.event.Deadline + min(float64(backstop.Milliseconds()), c.held/2), call: c}
 		heap.Push(&l.agenda, c.backstop)
 	}
 }
@@ -321,14 +321,14 @@
 
 // send starts an attempt; its goroutine posts the outcome.
 func (l *loop) send(c *call, act *forkline.Action) {
-	server, until := act.Server, act.Until
+	server, until := act.Server, act.Deadline
 	sent, begin := time.Now(), time.Time{}
 	if l.up.grace > 0 {
 		begin = sent.Add(l.up.grace)
 	}
 	a, e, number, out := newAttempt(begin), l.up.find(server), len(c.attempts), c.out
-	if act.Whole > 0 {
-		a.whole = l.time(act.Whole)
+	if act.LastByteBy > 0 {
+		a.whole = l.time(act.LastByteBy)
 	}
 	a.left, out.safe = c.hasLeft, c.safe
 	if l.limited {
@@ -343,7 +343,7 @@
 		}
 		ended := time.Now()
 		l.post(func() {
-			l.margin.measured(deadline.Taking, l.clock(ended))
+			l.margin.measured(deadline.Intake, l.clock(ended))
 			l.closed(c, number, server, outcome, got, ended.Sub(sent))
 		})
 	}()
@@ -362,7 +362,7 @@
 func (l *loop) closed(c *call, number int, server uint32, o forkline.Outcome, got *answer, took time.Duration) {
 	a := c.attempts[number]
 	c.open--
-	c.mayRun = c.mayRun || o != forkline.Full && o != forkline.ConnectFailed && o != forkline.NotSent
+	c.mayRun = c.mayRun || o != forkline.Rejected && o != forkline.ConnectFailed && o != forkline.NotSent
 	if got != nil {
 		l.finish(c, *got)
 	} else if !c.ended && c.hasLeft() { // before the module decides on a further attempt
@@ -370,7 +370,7 @@
 	}
 	l.handle(&forkline.Event{
 		Kind: forkline.EvOutcome, Request: c.event.Request, Attempt: uint16(number), Server: server,
-		Outcome: o, Took: milliseconds(took), Service: milliseconds(a.service), Fresh: a.fresh, Done: c.ended,
+		Outcome: o, Elapsed: milliseconds(took), ServiceTime: milliseconds(a.service), NewConnection: a.fresh, RequestDone: c.ended,
 	})
 	l.release(c)
 }
@@ -412,7 +412,7 @@
 		return
 	}
 	c.ended = true
-	l.handle(&forkline.Event{Kind: forkline.EvGone, Request: c.event.Request})
+	l.handle(&forkline.Event{Kind: forkline.EvClientGone, Request: c.event.Request})
 	l.callOff(c)
 	l.release(c)
 }
@@ -436,7 +436,7 @@
 	}
 	l.callOff(c)
 	l.finish(c, a)
-	l.handle(&forkline.Event{Kind: forkline.EvGone, Request: c.event.Request})
+	l.handle(&forkline.Event{Kind: forkline.EvClientGone, Request: c.event.Request})
 }
 
 // giveUpAll does so for every call, as the program must end now; what comes later is refused.
@@ -467,7 +467,7 @@
 		e := l.directory.entry(t)
 		ev.Servers = append(ev.Servers, e)
 		l.up.list(e.Server, t.Endpoint, e.Started, e.State)
-		if e.State == forkline.Gone {
+		if e.State == forkline.Removed {
 			delete(l.listed, e.Server)
 		} else {
 			l.listed[e.Server] = e.State == forkline.Ready
@@ -476,7 +476,7 @@
 	if whole {
 		for id := range before {
 			if _, ok := l.listed[id]; !ok {
-				l.up.list(id, "", 0, forkline.Gone)
+				l.up.list(id, "", 0, forkline.Removed)
 			}
 		}
 	}
--- a/internal/sidecar/margin.go
+++ b/internal/sidecar/margin.go
@@ -15,21 +15,21 @@
 }
 
 // measured notes how long ago a thing was to happen that happens now.
-func (m *margin) measured(p deadline.Part, since float64) {
+func (m *margin) measured(p deadline.Phase, since float64) {
 	now := m.loop.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.of.Measured(p, now, now-since)
+	m.of.Observe(p, now, now-since)
 }
 
 // answers begins to measure an answer that was decided on then. A client that reads it slowly is no delay of the core:
 // what counts is the time until the answer's first byte.
-func (m *margin) answers(decided time.Time) { m.measured(deadline.Answering, m.loop.clock(decided)) }
+func (m *margin) answers(decided time.Time) { m.measured(deadline.Response, m.loop.clock(decided)) }
 
 // hold tells how many ms to hold back of the ms left to a client.
 func (m *margin) hold(left float64) float64 {
 	now := m.loop.now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.of.Of(left, now)
+	return m.of.Reserve(left, now)
 }
--- a/internal/sidecar/margin_test.go
+++ b/internal/sidecar/margin_test.go
@@ -171,11 +171,11 @@
 						close(told)
 						there.Close()
 					}()
-					exchange(newAttempt(time.Time{}), &conn{Conn: here, reader: bufio.NewReader(here)}, &k.out, f.loop.time(k.event.Due), 0)
+					exchange(newAttempt(time.Time{}), &conn{Conn: here, reader: bufio.NewReader(here)}, &k.out, f.loop.time(k.event.Deadline), 0)
 					here.Close()
 					asked, _ := strconv.ParseFloat(deadline, 64)
 					left := min(asked, 2.5) - time.Since(sent).Seconds()
-					if seconds, came := <-told; came && seconds > left || came != (f.loop.now() < k.event.Due) {
+					if seconds, came := <-told; came && seconds > left || came != (f.loop.now() < k.event.Deadline) {
 						t.Errorf("idle %v, deadline %s s: %v s told %v after, sent %v", idle, deadline, seconds, after, came)
 					}
 				}
--- a/internal/sidecar/names_test.go
+++ b/internal/sidecar/names_test.go
@@ -60,7 +60,7 @@
 	}
 	zones, kinds := append(slices.Clone(n.zones), "unnamed"), append(slices.Clone(n.kinds), "unnamed")
 	for i := range max(len(zones), len(kinds)) {
-		cfg.Known.Targets = append(cfg.Known.Targets, Target{
+		cfg.InitialList.Targets = append(cfg.InitialList.Targets, Target{
 			UID: fmt.Sprint("s-", i), Endpoint: script(t, echo).Addr().String(),
 			Zone: zones[i%len(zones)], Kind: kinds[i%len(kinds)], State: "Ready",
 		})
--- a/internal/sidecar/race_test.go
+++ b/internal/sidecar/race_test.go
@@ -44,8 +44,8 @@
 	}
 	s.patience = 0
 	defer close(s.loop.ended)
-	s.Move(listen(t).Addr().String())
-	s.Move(cfg.Discovery)
+	s.SetDiscoveryAddr(listen(t).Addr().String())
+	s.SetDiscoveryAddr(cfg.Discovery)
 	for len(s.loop.mail) < cap(s.loop.mail) {
 		s.loop.mail <- func() {}
 	}
@@ -220,14 +220,14 @@
 func patient(t *testing.T, addrs ...string) Config {
 	cfg := config(t, addrs...)
 	c := &cfg.Site.Settings.Classes[0]
-	c.Aim, c.GiveUp = 10*float64(long.Milliseconds()), 10*float64(long.Milliseconds())
-	cfg.Site.Settings.Limits.ConnectTimeout = c.GiveUp
+	c.TargetLatency, c.Timeout = 10*float64(long.Milliseconds()), 10*float64(long.Milliseconds())
+	cfg.Site.Settings.Limits.ConnectTimeout = c.Timeout
 	return cfg
 }
 
 // told has the sidecar's only endpoint listed in another state, with all that follows done.
 func told(s *Sidecar, cfg *Config, state string) {
-	target := cfg.Known.Targets[0]
+	target := cfg.InitialList.Targets[0]
 	target.State = state
 	s.loop.ask(func() { s.loop.list(List{Targets: []Target{target}}, forkline.ListDelta) })
 }
@@ -262,7 +262,7 @@
 		came <- r.Header.Get("X-Request-Id")
 		return echo(n, c, r)
 	}).Addr().String())
-	cfg.Known.Targets[0].State = "Terminating"
+	cfg.InitialList.Targets[0].State = "Terminating"
 	s := start(t, cfg)
 	return &waiting{s, func() {
 		taken(t, s, func(c *call) bool { return len(c.attempts) == 0 })
@@ -331,11 +331,11 @@
 // third one would be sent on beside the first.
 func TestLeavingDoesNotFreeAnID(t *testing.T) {
 	cfg := patient(t, "127.0.0.1:1")
-	cfg.Known.Targets[0].State = "Terminating"
+	cfg.InitialList.Targets[0].State = "Terminating"
 	s := start(t, cfg)
 	statuses := make(chan int, 3)
 	request := func() *call {
-		return &call{id: "id", event: forkline.Event{Due: s.loop.now() + 1e6}, reply: func(a answer) { statuses <- a.status }}
+		return &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, reply: func(a answer) { statuses <- a.status }}
 	}
 	second := request()
 	s.loop.ask(func() { s.loop.take(request()) })
@@ -355,7 +355,7 @@
 	s := undrained(t, echo, nil)
 	statuses := make(chan int, 2)
 	request := func() *call {
-		return &call{id: "id", event: forkline.Event{Due: s.loop.now() + 1e6}, reply: func(a answer) { statuses <- a.status }}
+		return &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, reply: func(a answer) { statuses <- a.status }}
 	}
 	old := request()
 	s.loop.ask(func() {
@@ -412,7 +412,7 @@
 func undrained(t *testing.T, f func(n int, c net.Conn, r *http.Request) bool, change func(*Sidecar)) *Sidecar {
 	t.Helper()
 	cfg := config(t, script(t, f).Addr().String())
-	cfg.Site.Settings.Classes[1].GiveUp = 60000 // its own time does not end a wait
+	cfg.Site.Settings.Classes[1].Timeout = 60000 // its own time does not end a wait
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -423,7 +423,7 @@
 	}
 	go s.loop.run()
 	t.Cleanup(func() { close(s.loop.ended) })
-	s.loop.post(func() { s.loop.list(cfg.Known, forkline.ListCached) })
+	s.loop.post(func() { s.loop.list(cfg.InitialList, forkline.ListCached) })
 	go s.front.serve(s.listener)
 	return s
 }
@@ -833,9 +833,9 @@
 // has to be over, and a call answered.
 func TestSilenceLeavesTimeToAskAgain(t *testing.T) {
 	const told, backOff, answered = 6 * time.Second, 1500 * time.Millisecond, 500 * time.Millisecond
-	p := listwatch.Asked
-	if p.Silence+backOff+answered > told || p.Overdue+backOff+answered > told {
-		t.Errorf("silence shows after %v and %v", p.Silence, p.Overdue)
+	p := listwatch.PollPolicy
+	if p.SilenceTimeout+backOff+answered > told || p.SoftTimeout+backOff+answered > told {
+		t.Errorf("silence shows after %v and %v", p.SilenceTimeout, p.SoftTimeout)
 	}
 }
 
@@ -852,8 +852,8 @@
 		}
 		cfg := config(t, serve("draining"), serve("other"))
 		cfg.Site.Settings.Limits.ConnectTimeout = float64(long.Milliseconds()) // also on a busy machine
-		cfg.Site.Settings.Classes[0].GiveUp, cfg.Site.Settings.Classes[0].Aim = 20000, 20000
-		draining := cfg.Known.Targets[0]
+		cfg.Site.Settings.Classes[0].Timeout, cfg.Site.Settings.Classes[0].TargetLatency = 20000, 20000
+		draining := cfg.InitialList.Targets[0]
 		draining.State = "Terminating"
 		cfg.Discovery = discover(t, func(_ string, f func(List), _ func()) {
 			<-tell
--- a/internal/sidecar/readiness_test.go
+++ b/internal/sidecar/readiness_test.go
@@ -58,7 +58,7 @@
 			t.Run(fmt.Sprintf("%s/asked %v", name, asked), func(t *testing.T) {
 				t.Parallel()
 				cfg := config(t, script(t, echo).Addr().String())
-				cfg.Discovery, cfg.Site.Settings.ListOnRequest = trouble(t), asked
+				cfg.Discovery, cfg.Site.Settings.PollList = trouble(t), asked
 				s, err := New(cfg)
 				if err != nil {
 					t.Fatal(err)
@@ -87,7 +87,7 @@
 			t.Parallel()
 			addr, served := script(t, echo).Addr().String(), make(chan struct{})
 			cfg := config(t)
-			cfg.Site.Settings.ListOnRequest = asked
+			cfg.Site.Settings.PollList = asked
 			cfg.Discovery = script(t, func(n int, c net.Conn, _ *http.Request) bool {
 				if n == 0 {
 					io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -120,7 +120,7 @@
 	for name, first := range map[string]string{"silent": "", "half a request": firstHalf} {
 		t.Run(name, func(t *testing.T) {
 			cfg := config(t, script(t, echo).Addr().String())
-			cfg.Sockets, cfg.Site.Settings.ListOnRequest = LeastSockets, true
+			cfg.Sockets, cfg.Site.Settings.PollList = MinSockets, true
 			s, err := New(cfg)
 			if err != nil {
 				t.Fatal(err)
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -20,8 +20,8 @@
 func (s *Sidecar) Reload(cfg Config) error {
 	s.reloading.Lock()
 	defer s.reloading.Unlock()
-	if cfg.Signalled.IsZero() {
-		cfg.Signalled = time.Now()
+	if cfg.ReloadRequestedAt.IsZero() {
+		cfg.ReloadRequestedAt = time.Now()
 	}
 	if !reflect.DeepEqual(cfg.Site, s.cfg.Site) {
 		if err := s.change(&cfg.Site); err != nil {
@@ -30,12 +30,12 @@
 		s.mu.Lock()
 		s.cfg.Site = cfg.Site
 		s.mu.Unlock()
-		slog.Info("settings in force", "hash", fmt.Sprintf("%016x", cfg.Hash), "after", time.Since(cfg.Signalled).Round(10*time.Microsecond))
+		slog.Info("settings in force", "hash", fmt.Sprintf("%016x", cfg.SettingsHash), "after", time.Since(cfg.ReloadRequestedAt).Round(10*time.Microsecond))
 	}
 	if kept := s.kept(&cfg); len(kept) > 0 {
 		slog.Warn("kept until the next start", "keys", strings.Join(kept, " "))
 	}
-	s.Move(cfg.Discovery)
+	s.SetDiscoveryAddr(cfg.Discovery)
 	return nil
 }
 
@@ -87,7 +87,7 @@
 	if l.actions, err = l.balancer.Reconfigure(l.now(), set, l.actions); err != nil {
 		return err
 	}
-	l.tables, l.comeBack = t, millis(set.Limits.ComeBack())
+	l.tables, l.comeBack = t, millis(set.Limits.RetryAfter())
 	l.remember = max(l.remember, rememberTime(&site.Settings)) // clients may wait by the settings of before
 	l.up.configure(site.Settings.Limits, set.Safety.DrainGrace)
 	for _, c := range l.calls {
@@ -114,7 +114,7 @@
 func unrepeated(set forkline.Settings) forkline.Settings {
 	set.Classes = slices.Clone(set.Classes)
 	for i := range set.Classes {
-		if c := &set.Classes[i]; c.Effect == forkline.Keyed && c.Group == forkline.GroupZone {
+		if c := &set.Classes[i]; c.Effect == forkline.Keyed && c.Scope == forkline.ScopeZone {
 			c.Effect = forkline.Unsafe
 		}
 	}
@@ -138,7 +138,7 @@
 	}
 	wait := c.wait
 	if l.tables.place(c, &l.margin); c.backstop == nil {
-		c.event.Due += c.wait - wait
+		c.event.Deadline += c.wait - wait
 	}
 	return true
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -121,8 +121,8 @@
 	cfg := patient(t, g.addr)
 	s := start(t, cfg)
 	reload(t, s, cfg, func(set *forkline.Settings) {
-		set.Classes[0].Aim, set.Classes[0].GiveUp = 100, 200
-		set.Limits.ConnectTimeout, set.Safety.DrainGrace, set.Limits.RetryAfter = 77, 1000, false
+		set.Classes[0].TargetLatency, set.Classes[0].Timeout = 100, 200
+		set.Limits.ConnectTimeout, set.Safety.DrainGrace, set.Limits.SendRetryAfter = 77, 1000, false
 	})
 	s.loop.ask(func() { // the figures of connections and of the loop's own refusals are put in force with it
 		if u := s.loop.up; u.dialTimeout != 77*time.Millisecond || u.grace != 600*time.Millisecond || s.loop.comeBack != 0 {
@@ -145,7 +145,7 @@
 		g.await(t, id)
 	}
 	reload(t, s, cfg, func(set *forkline.Settings) {
-		set.Tenants, set.OverShareWorth = []forkline.Tenant{{Name: "small", Quota: 1e-6}}, 0
+		set.Tenants, set.OverQuotaValue = []forkline.Tenant{{Name: "small", Quota: 1e-6}}, 0
 	})
 	ask(t, s, "waits", "GET", "read", "X-Tenant: small") // the one that the bucket holds
 	taken(t, s, func(c *call) bool { return c.id == "waits" })
@@ -226,10 +226,10 @@
 		return c
 	}
 	moved, gone, other, keyless := parse("GET", "read"), parse("POST", "pay"), parse("POST", "pay"), parse("POST", "pay")
-	arrived := moved.event.Due - moved.wait
+	arrived := moved.event.Deadline - moved.wait
 	cfg = reload(t, s, cfg, func(set *forkline.Settings) {
 		set.Classes = []forkline.Class{set.Classes[2], set.Classes[0]} // pay is gone
-		set.Classes[1].GiveUp = 1500
+		set.Classes[1].Timeout = 1500
 		set.Tenants = []forkline.Tenant{{Name: "a"}, {Name: "b"}}
 	})
 	take := func(c *call) (got answer) {
@@ -241,14 +241,14 @@
 		return got
 	}
 	take(moved)
-	if e := moved.event; e.Class != 1 || e.Tenant != 1 || e.Due != arrived+1450 {
-		t.Errorf("class %d, tenant %d, due after %v ms", e.Class, e.Tenant, e.Due-arrived)
+	if e := moved.event; e.Class != 1 || e.Tenant != 1 || e.Deadline != arrived+1450 {
+		t.Errorf("class %d, tenant %d, due after %v ms", e.Class, e.Tenant, e.Deadline-arrived)
 	}
 	if got := take(gone); got.status != 404 {
 		t.Errorf("status %d for a class that is gone", got.status)
 	}
 	cfg = reload(t, s, cfg, func(set *forkline.Settings) {
-		set.Classes = append(set.Classes, forkline.Class{Name: "pay", Aim: 1, GiveUp: 9, Effect: forkline.Safe})
+		set.Classes = append(set.Classes, forkline.Class{Name: "pay", TargetLatency: 1, Timeout: 9, Effect: forkline.Safe})
 	})
 	if got := take(other); got.status != 405 {
 		t.Errorf("status %d for a method that the class does not have any more", got.status)
@@ -266,8 +266,8 @@
 	s := start(t, cfg)
 	for want, spoil := range map[string]func(*forkline.Settings){
 		"Stages":        func(set *forkline.Settings) { set.Stages = 3 },
-		"ListOnRequest": func(set *forkline.Settings) { set.ListOnRequest = true },
-		"GiveUp":        func(set *forkline.Settings) { set.Classes[1].GiveUp = -1 },
+		"ListOnRequest": func(set *forkline.Settings) { set.PollList = true },
+		"GiveUp":        func(set *forkline.Settings) { set.Classes[1].Timeout = -1 },
 		"Classes":       func(set *forkline.Settings) { set.Classes = nil },
 	} {
 		bad := edited(cfg, func(set *forkline.Settings) { set.Classes[0].Name = "new"; set.Copies = 9; spoil(set) })
@@ -319,7 +319,7 @@
 	cfg := config(t, listen(t).Addr().String())
 	lists := discover(t, func(_ string, tell func(List), beat func()) {
 		for rev := int64(1); rev < 50; rev++ {
-			tell(List{Rev: rev, All: true, Targets: cfg.Known.Targets})
+			tell(List{Rev: rev, Full: true, Targets: cfg.InitialList.Targets})
 		}
 		beat()
 	})
@@ -334,7 +334,7 @@
 	var all sync.WaitGroup
 	for i := range 20 {
 		all.Go(func() {
-			c := edited(cfg, func(set *forkline.Settings) { set.Classes[0].GiveUp = float64(5000 + i) })
+			c := edited(cfg, func(set *forkline.Settings) { set.Classes[0].Timeout = float64(5000 + i) })
 			c.Discovery = []string{lists, cfg.Discovery}[i%2]
 			if err := s.Reload(c); err != nil {
 				t.Error(err)
@@ -343,13 +343,13 @@
 	}
 	z.free()
 	all.Wait()
-	last := reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[0].GiveUp = 7777 })
+	last := reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[0].Timeout = 7777 })
 	s.loop.ask(func() {
-		if got := s.loop.tables.set.Classes[0].GiveUp; got != 7777 {
+		if got := s.loop.tables.set.Classes[0].Timeout; got != 7777 {
 			t.Errorf("deadline %v in force", got)
 		}
 	})
-	if got := s.front.tables.Load().set.Classes[0].GiveUp; got != 7777 || s.discovery.addr != last.Discovery {
+	if got := s.front.tables.Load().set.Classes[0].Timeout; got != 7777 || s.discovery.addr != last.Discovery {
 		t.Errorf("deadline %v at the front, discovery at %s", got, s.discovery.addr)
 	}
 }
@@ -371,7 +371,7 @@
 	longest := s.last()
 	reload(t, s, cfg, func(set *forkline.Settings) {
 		for i := range set.Classes {
-			set.Classes[i].Aim, set.Classes[i].GiveUp = 2000, 2000
+			set.Classes[i].TargetLatency, set.Classes[i].Timeout = 2000, 2000
 		}
 	})
 	if got := s.last(); got != longest-time.Second { // 3 s, the most that is waited for, before
@@ -403,10 +403,10 @@
 func TestReloadOfZonesTellsTheListAnew(t *testing.T) {
 	a, b := newGated(t), newGated(t)
 	cfg := patient(t, a.addr, b.addr)
-	cfg.Known.Targets[0].Zone, cfg.Known.Targets[1].Zone = "a", "b"
+	cfg.InitialList.Targets[0].Zone, cfg.InitialList.Targets[1].Zone = "a", "b"
 	cfg = edited(cfg, func(set *forkline.Settings) {
 		c := &set.Classes[2]
-		c.Aim, c.GiveUp, c.Group, c.Window = set.Classes[0].Aim, set.Classes[0].GiveUp, forkline.GroupZone, 1e9
+		c.TargetLatency, c.Timeout, c.Scope, c.DedupWindow = set.Classes[0].TargetLatency, set.Classes[0].Timeout, forkline.ScopeZone, 1e9
 	})
 	s := start(t, cfg)
 	eventually(t, "the list", func() bool { return isReady(s) })
@@ -428,16 +428,16 @@
 func TestReloadOfZones(t *testing.T) {
 	g, other := newGated(t), newGated(t)
 	cfg := patient(t, g.addr, other.addr)
-	cfg.Known.Targets[1].Zone = "y"
-	cfg.Known.Targets = cfg.Known.Targets[:1]
+	cfg.InitialList.Targets[1].Zone = "y"
+	cfg.InitialList.Targets = cfg.InitialList.Targets[:1]
 	cfg = edited(cfg, func(set *forkline.Settings) {
 		c := &set.Classes[2]
-		c.Aim, c.GiveUp, c.Group, c.Window = set.Classes[0].Aim, set.Classes[0].GiveUp, forkline.GroupZone, 1e9
+		c.TargetLatency, c.Timeout, c.Scope, c.DedupWindow = set.Classes[0].TargetLatency, set.Classes[0].Timeout, forkline.ScopeZone, 1e9
 	})
 	s := start(t, cfg)
 	out := ask(t, s, "held", "POST", "add", "Idempotency-Key: k")
 	g.await(t, "held")
-	s.loop.ask(func() { s.loop.list(List{All: true}, forkline.ListFull) }) // its server is gone and not told anew
+	s.loop.ask(func() { s.loop.list(List{Full: true}, forkline.ListFull) }) // its server is gone and not told anew
 	cfg.Site.Zones = []string{"y", "z"}
 	if err := s.Reload(cfg); err != nil {
 		t.Fatal(err)
@@ -450,7 +450,7 @@
 		t.Errorf("zone %d, want the new number", entry.Zone)
 	}
 	// Another one is in the zone of its old number.
-	list := List{All: true, Targets: []Target{{UID: "s-1", Endpoint: other.addr, Zone: "y", State: "Ready"}}}
+	list := List{Full: true, Targets: []Target{{UID: "s-1", Endpoint: other.addr, Zone: "y", State: "Ready"}}}
 	s.loop.ask(func() { s.loop.list(list, forkline.ListFull) })
 	g.let <- false
 	if status := out.status(t); status != statusFailed || len(other.came) > 0 {
@@ -470,12 +470,12 @@
 		return true
 	})
 	u := pool(ln.Addr().String(), 4)
-	u.configure(forkline.Limits{ConnIdle: 3.6e6}, 0)
+	u.configure(forkline.Limits{ConnIdleTimeout: 3.6e6}, 0)
 	if u.trust != u.idleLimit || u.idleLimit != 48*time.Minute {
 		t.Errorf("idle for %v, trusted for %v", u.idleLimit, u.trust)
 	}
 	attemptOn(u, long)
-	u.configure(forkline.Limits{ConnIdle: 10, ConnectTimeout: 77}, 1000)
+	u.configure(forkline.Limits{ConnIdleTimeout: 10, ConnectTimeout: 77}, 1000)
 	if u.trust != 8*time.Millisecond || u.dialTimeout != 77*time.Millisecond || u.grace != 600*time.Millisecond {
 		t.Errorf("trusted for %v, dials %v, begins within %v", u.trust, u.dialTimeout, u.grace)
 	}
--- a/internal/sidecar/remembered.go
+++ b/internal/sidecar/remembered.go
@@ -70,7 +70,7 @@
 func rememberTime(set *forkline.Settings) float64 {
 	longest := 0.0
 	for _, c := range set.Classes {
-		longest = max(longest, c.GiveUp)
+		longest = max(longest, c.Timeout)
 	}
 	return rememberDeadlines * longest
 }
--- a/internal/sidecar/remembered_test.go
+++ b/internal/sidecar/remembered_test.go
@@ -63,10 +63,10 @@
 	s := undrained(t, echo, nil)
 	statuses := make(chan int, 2)
 	s.loop.ask(func() {
-		old := &call{id: "id", event: forkline.Event{Due: s.loop.now() + 1e6}, ended: true, open: 1}
+		old := &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, ended: true, open: 1}
 		s.loop.ids["id"], s.loop.calls[9] = old, old
 		s.loop.giveUpAll()
-		s.loop.take(&call{id: "id", event: forkline.Event{Due: s.loop.now() + 1e6}, reply: func(a answer) { statuses <- a.status }})
+		s.loop.take(&call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, reply: func(a answer) { statuses <- a.status }})
 	})
 	if len(statuses) != 1 || <-statuses != statusFailed {
 		t.Error("it was not answered, or not as one that may have run")
@@ -99,7 +99,7 @@
 			statuses := make(chan int, 1)
 			f.loop.ask(func() {
 				f.loop.take(&call{
-					id: "new", event: forkline.Event{Class: class, Due: f.loop.now() + 1000}, safe: safe,
+					id: "new", event: forkline.Event{Class: class, Deadline: f.loop.now() + 1000}, safe: safe,
 					reply: func(a answer) { statuses <- a.status },
 				})
 			})
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -22,13 +22,13 @@
 	Seed                    uint64
 	MemoryMB, Sockets       int
 	Site                    wire.Site
-	Known                   List
-	Hash                    uint64    // of the settings' text, for the log
-	Signalled               time.Time // when a change to this was asked for, for the log
+	InitialList             List
+	SettingsHash            uint64    // of the settings' text, for the log
+	ReloadRequestedAt       time.Time // when a change to this was asked for, for the log
 }
 
-// LeastSockets is the smallest descriptor limit that leaves some for clients and for endpoints.
-const LeastSockets = 64
+// MinSockets is the smallest descriptor limit that leaves some for clients and for endpoints.
+const MinSockets = 64
 
 // reserved descriptors are for the runtime, standard streams and the listener, some 14, for the calls to discovery that
 // wait beside each other while it is silent, 10 at most, and for those on their way.
@@ -64,7 +64,7 @@
 		return nil, err
 	}
 	s.discovery = newDiscovery(&s.cfg, s.loop)
-	if !set.ListOnRequest {
+	if !set.PollList {
 		s.patience = agentFirst
 	}
 	s.front = newFront(s.loop, set, s.downstream)
@@ -77,19 +77,19 @@
 // newDiscovery ties discovery and the loop together; ask or follow begins.
 func newDiscovery(cfg *Config, l *loop) *discovery {
 	d := &discovery{
-		addr: cfg.Discovery, rev: cfg.Known.Rev, policy: listwatch.Pushed,
+		addr: cfg.Discovery, rev: cfg.InitialList.Rev, policy: listwatch.PushPolicy,
 		random: rand.New(rand.NewPCG(cfg.Seed, 0)).Float64,
 		tell: func(list List) {
 			kind := forkline.ListDelta
-			if list.All {
+			if list.Full {
 				kind = forkline.ListFull
 			}
 			l.post(func() { l.list(list, kind) })
 		},
 		failed: func() { l.post(func() { l.listEvent(forkline.ListFailed) }) },
 	}
-	if cfg.Site.Settings.ListOnRequest {
-		d.policy = listwatch.Asked
+	if cfg.Site.Settings.PollList {
+		d.policy = listwatch.PollPolicy
 		d.answered = func() { l.post(func() { l.listEvent(forkline.ListDelta) }) } // no changes so far
 	}
 	return d
@@ -100,13 +100,13 @@
 	watching, stop := context.WithCancel(context.Background()) // drains count to the end
 	defer stop()
 	defer close(s.loop.ended)
-	if s.cfg.Site.Settings.ListOnRequest {
+	if s.cfg.Site.Settings.PollList {
 		s.loop.watch = func() { go s.discovery.once(watching) }
-		s.loop.post(func() { s.loop.list(s.cfg.Known, forkline.ListCached) }) // ahead of what the watch tells
+		s.loop.post(func() { s.loop.list(s.cfg.InitialList, forkline.ListCached) }) // ahead of what the watch tells
 	} else {
 		// What the agent has counts as told from the first moment on. So nothing is sent by the list of before until
 		// the agent has changed it, or has said nothing for too long.
-		s.loop.known = &s.cfg.Known
+		s.loop.known = &s.cfg.InitialList
 		first := time.AfterFunc(s.patience, func() { s.loop.post(s.loop.useKnown) })
 		defer first.Stop()
 		s.discovery.follow(watching)
@@ -114,7 +114,7 @@
 	go s.loop.run()
 	served := make(chan error, 1)
 	go func() { served <- s.front.serve(s.listener) }()
-	slog.Info("serving", "listen", s.listener.Addr(), "known", len(s.cfg.Known.Targets), "rev", s.cfg.Known.Rev)
+	slog.Info("serving", "listen", s.listener.Addr(), "known", len(s.cfg.InitialList.Targets), "rev", s.cfg.InitialList.Rev)
 	select {
 	case err := <-served:
 		return fmt.Errorf("serve: %w", err)
@@ -124,9 +124,9 @@
 	return nil
 }
 
-// Move has discovery watched at another address from now on; the list that is held stays in use. The loop must not
+// SetDiscoveryAddr has discovery watched at another address from now on; the list that is held stays in use. The loop must not
 // wait for discovery's mutex: a watch holds that while it waits for room in the loop's mail.
-func (s *Sidecar) Move(addr string) {
+func (s *Sidecar) SetDiscoveryAddr(addr string) {
 	if s.discovery.move(addr) {
 		slog.Info("discovery moves", "addr", addr)
 		s.loop.post(func() { s.loop.listEvent(forkline.ListMoved) })
@@ -139,7 +139,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.cfg.Site.Settings.Classes {
-		longest = max(longest, c.GiveUp/1000)
+		longest = max(longest, c.Timeout/1000)
 	}
 	return time.Duration((min(longest, killMost) + killAfter - exitBefore) * float64(time.Second))
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -38,7 +38,7 @@
 	}
 	cfg := Config{Name: "n", Listen: "127.0.0.1:0", Discovery: nowhere(), Sockets: 256, Site: site}
 	for i, a := range addrs {
-		cfg.Known.Targets = append(cfg.Known.Targets,
+		cfg.InitialList.Targets = append(cfg.InitialList.Targets,
 			Target{UID: fmt.Sprint("s-", i), Endpoint: a, Zone: "z", Kind: "k", State: "Ready"})
 	}
 	return cfg
@@ -338,7 +338,7 @@
 		}
 		return echo(n, c, r)
 	}).Addr().String())
-	cfg.Site.Settings.Classes[0].GiveUp = 5000 // what is held must not end by its own time
+	cfg.Site.Settings.Classes[0].Timeout = 5000 // what is held must not end by its own time
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -378,14 +378,14 @@
 	came, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
 	cfg := config(t, script(t, func(int, net.Conn, *http.Request) bool { close(came); <-release; return false }).Addr().String())
-	cfg.Site.Settings.Classes[1].GiveUp = 60000 // its own time would not end the wait
+	cfg.Site.Settings.Classes[1].Timeout = 60000 // its own time would not end the wait
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.patience = 0
 	go s.loop.run()
-	s.loop.post(func() { s.loop.list(cfg.Known, forkline.ListCached) })
+	s.loop.post(func() { s.loop.list(cfg.InitialList, forkline.ListCached) })
 	go s.front.serve(s.listener)
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
@@ -402,7 +402,7 @@
 func TestALoneSidecarServesOn(t *testing.T) {
 	closing := func(copies int) time.Duration {
 		s := &Sidecar{cfg: Config{}}
-		s.cfg.Site.Settings = forkline.Settings{Copies: copies, Classes: []forkline.Class{{GiveUp: 6000}}}
+		s.cfg.Site.Settings = forkline.Settings{Copies: copies, Classes: []forkline.Class{{Timeout: 6000}}}
 		return s.last() - newFront(nil, &s.cfg.Site.Settings, 1).finishing()
 	}
 	if alone, untold, one := closing(1), closing(0), closing(2); alone != 2850*time.Millisecond || untold != alone || one >= alone {
@@ -413,7 +413,7 @@
 // Callers that hold connections for nothing must not keep others out.
 func TestQuietCallersGiveWay(t *testing.T) {
 	cfg := config(t, script(t, echo).Addr().String())
-	cfg.Sockets = LeastSockets
+	cfg.Sockets = MinSockets
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -472,7 +472,7 @@
 	defer close(done)
 	addr := script(t, echo).Addr().String()
 	cfg := config(t)
-	cfg.Known.Rev = 7
+	cfg.InitialList.Rev = 7
 	cfg.Discovery = discover(t, func(since string, tell func(List), beat func()) {
 		beat()
 		for rev := int64(8); ; rev++ {
@@ -532,10 +532,10 @@
 	cfg := config(t)
 	for i := range 4 {
 		addr := script(t, hold).Addr().String()
-		cfg.Known.Targets = append(cfg.Known.Targets, Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", State: "Ready"})
+		cfg.InitialList.Targets = append(cfg.InitialList.Targets, Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", State: "Ready"})
 	}
 	cfg.Discovery = discover(t, func(_ string, tell func(List), _ func()) {
-		for i, old := range cfg.Known.Targets {
+		for i, old := range cfg.InitialList.Targets {
 			old.State = "Terminating"
 			tell(List{Rev: int64(2*i + 1), Targets: []Target{old}})
 			addr := script(t, hold).Addr().String()
@@ -579,7 +579,7 @@
 	}
 	cfg := config(t, script(t, hold).Addr().String(), script(t, hold).Addr().String(), script(t, hold).Addr().String(),
 		script(t, fail).Addr().String())
-	cfg.Site.Settings.Classes[0].GiveUp = 2 * float64(long.Milliseconds()) // what is held stays so
+	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds()) // what is held stays so
 	s := start(t, cfg)
 	defer close(done)
 	var refused atomic.Int32
@@ -624,9 +624,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.list(cfg.Known, forkline.ListCached)
+	l.list(cfg.InitialList, forkline.ListCached)
 	first, second := l.directory.id("s-0"), l.directory.id("s-1")
-	l.list(List{Targets: cfg.Known.Targets[1:]}, forkline.ListFull)
+	l.list(List{Targets: cfg.InitialList.Targets[1:]}, forkline.ListFull)
 	if l.usable != 1 || l.up.find(first) != nil || l.up.find(second) == nil {
 		t.Errorf("%d usable of one that is listed", l.usable)
 	}
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -74,8 +74,8 @@
 
 // idleLimit is the time for which a connection may be idle.
 func idleLimit(l forkline.Limits) time.Duration {
-	if l.ConnIdle > 0 {
-		return millis(idlePart * l.ConnIdle)
+	if l.ConnIdleTimeout > 0 {
+		return millis(idlePart * l.ConnIdleTimeout)
 	}
 	return defaultIdle
 }
@@ -117,7 +117,7 @@
 	if !e.ready {
 		u.closeIdle(e)
 	}
-	if state == forkline.Gone {
+	if state == forkline.Removed {
 		delete(u.endpoints, id)
 	}
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -86,8 +86,8 @@
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", forkline.OK},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", forkline.Error},
-		{"turned away", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Full},
-		{"over already", "HTTP/1.1 504 G\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Full},
+		{"turned away", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Rejected},
+		{"over already", "HTTP/1.1 504 G\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Rejected},
 		{"503 that does not say so", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", forkline.Error},
 		{"500 is no turning away", "HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Error},
 		{"the request's own fault", "HTTP/1.1 400 B\r\nContent-Length: 0\r\n\r\n", forkline.Cancelled},
@@ -394,7 +394,7 @@
 		}
 		now := l.now()
 		c := &call{out: *get()}
-		l.send(c, &forkline.Action{Kind: forkline.ActSend, Server: 1, Until: now + 1e6, Whole: now - 1})
+		l.send(c, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: now + 1e6, LastByteBy: now - 1})
 		for c.open > 0 { // ahead of the outcome comes news of the connection
 			(<-l.mail)()
 		}
@@ -538,7 +538,7 @@
 	addr := ln.Addr().String()
 	for name, change := range map[string]func(u *upstream){
 		"draining":  func(u *upstream) { u.list(1, addr, 0, forkline.Draining) },
-		"gone":      func(u *upstream) { u.list(1, addr, 0, forkline.Gone) },
+		"gone":      func(u *upstream) { u.list(1, addr, 0, forkline.Removed) },
 		"restarted": func(u *upstream) { u.list(1, addr, 9, forkline.Ready) },
 		"moved":     func(u *upstream) { u.list(1, "127.0.0.1:1", 0, forkline.Ready) },
 		"closed":    func(u *upstream) { u.closeAll(1) },
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -10,13 +10,13 @@
 // Rate is a rate of events a second that forgets exponentially. The zero Rate has seen none.
 type Rate struct {
 	PerSecond float64 // as of the last event
-	At        float64 // time of that
+	UpdatedAt float64 // time of that
 }
 
 // Add counts n events, with the time constant of forgetting in ms.
 func (r *Rate) Add(now, n, memory float64) {
-	r.PerSecond = r.PerSecond*math.Exp((r.At-now)/memory) + n*1000/memory
-	r.At = now
+	r.PerSecond = r.PerSecond*math.Exp((r.UpdatedAt-now)/memory) + n*1000/memory
+	r.UpdatedAt = now
 }
 
 // Window counts events within a sliding window. It is exact: a bucket that refills would let a full one and its
@@ -29,8 +29,8 @@
 // Add counts one event.
 func (w *Window) Add(now float64) { w.times = append(w.times, now) }
 
-// Since counts the events from a time on, and forgets older ones.
-func (w *Window) Since(from float64) int {
+// CountSince counts the events from a time on, and forgets older ones.
+func (w *Window) CountSince(from float64) int {
 	for w.first < len(w.times) && w.times[w.first] < from {
 		w.first++
 	}
@@ -41,8 +41,8 @@
 	return len(w.times) - w.first
 }
 
-// Held is how many events are held, for tests of memory.
-func (w *Window) Held() int { return len(w.times) }
+// Len is how many events are held, for tests of memory.
+func (w *Window) Len() int { return len(w.times) }
 
 // Sample is one measured value.
 type Sample struct{ At, Value float64 }
@@ -68,23 +68,23 @@
 
 // TokenBucket lets events through at a rate, and ahead of it by as many as it holds.
 type TokenBucket struct {
-	Tokens, At float64 // held then
-	Rate, Most float64 // refilled a second, and held at most
+	Tokens, UpdatedAt float64 // held then
+	Rate, Capacity    float64 // refilled a second, and held at most
 }
 
 // NewTokenBucket returns a full bucket.
 func NewTokenBucket(now, rate, most float64) TokenBucket {
-	return TokenBucket{Tokens: most, At: now, Rate: rate, Most: most}
+	return TokenBucket{Tokens: most, UpdatedAt: now, Rate: rate, Capacity: most}
 }
 
-// Held is how many tokens it holds.
-func (t *TokenBucket) Held(now float64) float64 {
-	return min(t.Most, t.Tokens+(now-t.At)/1000*t.Rate)
+// Available is how many tokens it holds.
+func (t *TokenBucket) Available(now float64) float64 {
+	return min(t.Capacity, t.Tokens+(now-t.UpdatedAt)/1000*t.Rate)
 }
 
 // Take takes a token and tells whether there was one.
 func (t *TokenBucket) Take(now float64) bool {
-	t.Tokens, t.At = t.Held(now), now
+	t.Tokens, t.UpdatedAt = t.Available(now), now
 	if t.Tokens < 1 {
 		return false
 	}
@@ -95,8 +95,8 @@
 // Share is the share of events of one kind among all, as of late.
 type Share float64
 
-// Note takes in one event with a weight.
-func (s *Share) Note(is bool, weight float64) {
+// Observe takes in one event with a weight.
+func (s *Share) Observe(is bool, weight float64) {
 	*s -= Share(weight) * *s
 	if is {
 		*s += Share(weight)
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -14,7 +14,7 @@
 		t.Errorf("%.2f events a second, want 10", r.PerSecond)
 	}
 	before := r.PerSecond
-	if r.Add(r.At+2000, 0, 2000); math.Abs(r.PerSecond-before/math.E) > 1e-9 {
+	if r.Add(r.UpdatedAt+2000, 0, 2000); math.Abs(r.PerSecond-before/math.E) > 1e-9 {
 		t.Errorf("%.2f events a second after the memory's time without any, want %.2f", r.PerSecond, before/math.E)
 	}
 }
@@ -24,12 +24,12 @@
 	for at := range 10000 {
 		w.Add(float64(at))
 		want := min(at+1, 101)
-		if got := w.Since(float64(at - 100)); got != want {
+		if got := w.CountSince(float64(at - 100)); got != want {
 			t.Fatalf("%d events since %d, want %d", got, at-100, want)
 		}
 	}
-	if w.Held() > 300 {
-		t.Errorf("%d events are held of a window of 101", w.Held())
+	if w.Len() > 300 {
+		t.Errorf("%d events are held of a window of 101", w.Len())
 	}
 }
 func TestRecentTakesOlderSamplesOnlyWhileItHasFew(t *testing.T) {
@@ -65,15 +65,15 @@
 	if taken != 104 {
 		t.Errorf("%d taken in 10 s at 10 a second and 5 ahead, want 104", taken)
 	}
-	if b.Held(1e9) != 5 {
-		t.Errorf("%v held, want 5", b.Held(1e9))
+	if b.Available(1e9) != 5 {
+		t.Errorf("%v held, want 5", b.Available(1e9))
 	}
 }
 
 func TestShareForgets(t *testing.T) {
 	var s Share
 	for i := range 10000 {
-		s.Note(i%4 == 0, 0.005)
+		s.Observe(i%4 == 0, 0.005)
 	}
 	if math.Abs(float64(s)-0.25) > 0.02 || math.Abs(s.Odds()-1.0/3) > 0.04 {
 		t.Errorf("share %v, odds %v", s, s.Odds())
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -39,7 +39,7 @@
 )
 
 var outcomes = map[byte]forkline.Outcome{
-	0: forkline.OK, 255: forkline.Error, 254: forkline.Full, 253: forkline.Timeout,
+	0: forkline.OK, 255: forkline.Error, 254: forkline.Rejected, 253: forkline.Timeout,
 	252: forkline.ConnectFailed, 251: forkline.Reset, 250: forkline.Cancelled, 249: forkline.NotSent,
 }
 
@@ -140,28 +140,28 @@
 		}
 	case codeWorkItem:
 		ev.Kind, ev.Request, ev.Class, ev.Tenant = forkline.EvRequest, u32(rec[4:]), u16(rec[8:]), u16(rec[10:])
-		ev.Key, ev.Due = binary.LittleEndian.Uint64(rec[12:]), f64(rec[20:])
+		ev.Key, ev.Deadline = binary.LittleEndian.Uint64(rec[12:]), f64(rec[20:])
 		if rec[36]&1 != 0 {
-			ev.Hint = f64(rec[28:])
+			ev.WorkHint = f64(rec[28:])
 		}
 	case codeFirstByte:
-		ev.Kind, ev.Request, ev.Attempt = forkline.EvFirst, u32(rec[4:]), u16(rec[8:])
-		ev.Server, ev.Took = u32(rec[10:]), f64(rec[14:])
+		ev.Kind, ev.Request, ev.Attempt = forkline.EvResponseStarted, u32(rec[4:]), u16(rec[8:])
+		ev.Server, ev.Elapsed = u32(rec[10:]), f64(rec[14:])
 	case codeClosed:
 		ev.Kind, ev.Request, ev.Server, ev.Attempt = forkline.EvOutcome, u32(rec[4:]), u32(rec[9:]), u16(rec[13:])
-		ev.Took, ev.Done = f64(rec[15:]), rec[23] != 0
+		ev.Elapsed, ev.RequestDone = f64(rec[15:]), rec[23] != 0
 		if err := outcome(rec[8], ev); err != nil {
 			return err
 		}
 	case codeLapsed:
-		ev.Kind, ev.Request = forkline.EvGone, u32(rec[4:])
+		ev.Kind, ev.Request = forkline.EvClientGone, u32(rec[4:])
 	case codeFired:
 		ev.Kind, ev.Token = forkline.EvTimer, binary.LittleEndian.Uint64(rec[4:])
 	case codeHealth:
-		ev.Kind, ev.Server, ev.Took = forkline.EvProbe, u32(rec[4:]), f64(rec[9:])
-		ev.Values = min(int(rec[17]), len(ev.Report))
-		for i := range ev.Values {
-			ev.Report[i] = math.Float32frombits(u32(rec[18+4*i:]))
+		ev.Kind, ev.Server, ev.Elapsed = forkline.EvProbeResult, u32(rec[4:]), f64(rec[9:])
+		ev.LoadReportLen = min(int(rec[17]), len(ev.LoadReport))
+		for i := range ev.LoadReportLen {
+			ev.LoadReport[i] = math.Float32frombits(u32(rec[18+4*i:]))
 		}
 		if err := outcome(rec[8], ev); err != nil {
 			return err
@@ -192,7 +192,7 @@
 	}
 	list := d.lists[number][:0]
 	for ; len(raw) > 0; raw = raw[entrySize:] {
-		if raw[9] > byte(forkline.Gone) {
+		if raw[9] > byte(forkline.Removed) {
 			return fmt.Errorf("list %d: state %d is unknown", number, raw[9])
 		}
 		list = append(list, forkline.ServerEntry{
@@ -258,11 +258,11 @@
 		code = 1
 		put.PutUint32(rec[4:], a.Request)
 		put.PutUint32(rec[8:], a.Server)
-		put.PutUint64(rec[12:], math.Float64bits(a.Until))
+		put.PutUint64(rec[12:], math.Float64bits(a.Deadline))
 	case forkline.ActRefuse:
 		code = 2
 		put.PutUint32(rec[4:], a.Request)
-		put.PutUint64(rec[8:], math.Float64bits(a.After))
+		put.PutUint64(rec[8:], math.Float64bits(a.Delay))
 	case forkline.ActFail:
 		code = 3
 		put.PutUint32(rec[4:], a.Request)
@@ -272,7 +272,7 @@
 		put.PutUint16(rec[8:], a.Attempt)
 	case forkline.ActTimer:
 		code = 5
-		put.PutUint64(rec[4:], math.Float64bits(a.After))
+		put.PutUint64(rec[4:], math.Float64bits(a.Delay))
 		put.PutUint64(rec[12:], a.Token)
 	case forkline.ActLog:
 		code = 9
@@ -280,10 +280,10 @@
 	case forkline.ActProbe:
 		code = 6
 		put.PutUint32(rec[4:], a.Server)
-	case forkline.ActClose:
+	case forkline.ActCloseIdle:
 		code = 7
 		put.PutUint32(rec[4:], a.Server)
-	case forkline.ActWatch:
+	case forkline.ActWatchList:
 		code = 11
 		rec[4] = 1
 	}
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -100,15 +100,15 @@
 		t.Fatal(err)
 	}
 	want := []forkline.Event{
-		{Kind: forkline.EvRequest, Request: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Due: 8652.25, Hint: 12},
+		{Kind: forkline.EvRequest, Request: 0x5d3a91c4, Key: 0x91f03b7c55d20a64, Deadline: 8652.25, WorkHint: 12},
 		{Kind: forkline.EvTimer, Token: 77},
-		{Kind: forkline.EvGone, Request: 0x0e6f2b19},
+		{Kind: forkline.EvClientGone, Request: 0x0e6f2b19},
 	}
 	for i, w := range want {
 		got := rec.events[i]
 		got.Servers = nil
-		if got.Kind != w.Kind || got.Request != w.Request || got.Key != w.Key || got.Due != w.Due ||
-			got.Hint != w.Hint || got.Token != w.Token {
+		if got.Kind != w.Kind || got.Request != w.Request || got.Key != w.Key || got.Deadline != w.Deadline ||
+			got.WorkHint != w.WorkHint || got.Token != w.Token {
 			t.Errorf("event %d: %+v, want %+v", i, got, w)
 		}
 	}
@@ -119,8 +119,8 @@
 
 func TestExampleReply(t *testing.T) {
 	var r Reply
-	r.Add(3, &forkline.Action{Kind: forkline.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Until: 8492.25})
-	r.Add(3, &forkline.Action{Kind: forkline.ActTimer, After: 500, Token: 77})
+	r.Add(3, &forkline.Action{Kind: forkline.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Deadline: 8492.25})
+	r.Add(3, &forkline.Action{Kind: forkline.ActTimer, Delay: 500, Token: 77})
 	r.Add(5, &forkline.Action{Kind: forkline.ActLog, Text: "two servers known"})
 	var out bytes.Buffer
 	if err := r.WriteTo(&out, 12); err != nil {
@@ -144,7 +144,7 @@
 		inst   uint16
 		want   string
 	}{
-		{"refuse", forkline.Action{Kind: forkline.ActRefuse, Request: 0x0e6f2b19, After: 250}, 3,
+		{"refuse", forkline.Action{Kind: forkline.ActRefuse, Request: 0x0e6f2b19, Delay: 250}, 3,
 			"0200 0300 192b6f0e 0000000000406f40 0000000000000000"},
 		{"fail", forkline.Action{Kind: forkline.ActFail, Request: 0x0e6f2b19}, 3,
 			"0300 0300 192b6f0e 00000000000000000000000000000000"},
@@ -152,9 +152,9 @@
 			"0400 0300 c4913a5d 0000 0000000000000000000000000000"},
 		{"probe", forkline.Action{Kind: forkline.ActProbe, Server: 0x2c9011f2}, 3,
 			"0600 0300 f211902c 00000000000000000000000000000000"},
-		{"close", forkline.Action{Kind: forkline.ActClose, Server: 0x2c9011f2}, 3,
+		{"close", forkline.Action{Kind: forkline.ActCloseIdle, Server: 0x2c9011f2}, 3,
 			"0700 0300 f211902c 00000000000000000000000000000000"},
-		{"watch", forkline.Action{Kind: forkline.ActWatch}, 3,
+		{"watch", forkline.Action{Kind: forkline.ActWatchList}, 3,
 			"0b00 0300 01 00000000000000000000000000000000000000"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -188,13 +188,13 @@
 	if servers[0].Server != 0x03124a07 || servers[0].Weight != 1 || servers[1].Weight != 1.5 || servers[1].Started != 6100 {
 		t.Errorf("servers %+v", servers)
 	}
-	if e := rec.events[1]; e.Kind != forkline.EvFirst || e.Server != 0x03124a07 || e.Took != 9.25 {
+	if e := rec.events[1]; e.Kind != forkline.EvResponseStarted || e.Server != 0x03124a07 || e.Elapsed != 9.25 {
 		t.Errorf("first %+v", e)
 	}
-	if e := rec.events[2]; e.Kind != forkline.EvOutcome || e.Outcome != forkline.OK || e.Took != 18.5 || !e.Done {
+	if e := rec.events[2]; e.Kind != forkline.EvOutcome || e.Outcome != forkline.OK || e.Elapsed != 18.5 || !e.RequestDone {
 		t.Errorf("outcome %+v", e)
 	}
-	if e := rec.events[3]; e.Kind != forkline.EvProbe || e.Server != 0x2c9011f2 || e.Took != 1.4 {
+	if e := rec.events[3]; e.Kind != forkline.EvProbeResult || e.Server != 0x2c9011f2 || e.Elapsed != 1.4 {
 		t.Errorf("probe %+v", e)
 	}
 	if len(rec.stopped) != 1 || rec.stopped[0] != 3 {
@@ -280,20 +280,20 @@
 		t.Fatal(err)
 	}
 	c := set.Classes[0]
-	if c.Effect != forkline.Keyed || c.Group != forkline.GroupZone || c.Window != 2000 || c.Worth != 1 {
+	if c.Effect != forkline.Keyed || c.Scope != forkline.ScopeZone || c.DedupWindow != 2000 || c.Value != 1 {
 		t.Errorf("class %+v", c)
 	}
-	if d := set.Classes[1]; d.Effect != forkline.Unsafe || d.Worth != 0 {
+	if d := set.Classes[1]; d.Effect != forkline.Unsafe || d.Value != 0 {
 		t.Errorf("an absent effect must be the strictest, a worth of 0 kept: %+v", d)
 	}
 	if set.Copies != 4 || set.Rank != 2 || set.Stage != 1 || set.Stages != 2 || set.Zone != 1 ||
-		!set.ListOnRequest || !set.WorthByWork || set.OverShareWorth != 1 || set.WorstClass != 0.25 || set.Tenants[0].Quota != 94 ||
-		set.Limits.MaxAttempts != 3 || set.Safety.Ramp != 22000 || set.Safety.AskEvery != 10000 {
+		!set.PollList || !set.ValueByWork || set.OverQuotaValue != 1 || set.WorstClassWeight != 0.25 || set.Tenants[0].Quota != 94 ||
+		set.Limits.MaxAttempts != 3 || set.Safety.RampTime != 22000 || set.Safety.PollInterval != 10000 {
 		t.Errorf("settings %+v", set)
 	}
 	f := set.Safety
-	if f.DrainClose != 1500 || f.BudgetFree != 2 || f.BudgetShare != 0.15 || f.BudgetWindow != 9000 ||
-		set.Limits.ConnIdle != 5000 || set.Limits.Streams != 7 {
+	if f.DrainCloseTimeout != 1500 || f.RetryBudgetMin != 2 || f.RetryBudgetRatio != 0.15 || f.RetryBudgetWindow != 9000 ||
+		set.Limits.ConnIdleTimeout != 5000 || set.Limits.StreamsPerConn != 7 {
 		t.Errorf("safety %+v, limits %+v", f, set.Limits)
 	}
 	for _, bad := range []string{`{`, `{"classes": 3}`, `{"classes": [{"effect": "maybe"}]}`,
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -82,10 +82,10 @@
 	"non_idempotent":  forkline.Unsafe,
 }
 
-var groups = map[string]forkline.Group{
-	"all":  forkline.GroupAll,
-	"zone": forkline.GroupZone,
-	"cell": forkline.GroupCell,
+var groups = map[string]forkline.DedupScope{
+	"all":  forkline.ScopeAll,
+	"zone": forkline.ScopeZone,
+	"cell": forkline.ScopeCell,
 }
 
 // Site is the settings object with the names that the module knows by number only.
@@ -108,30 +108,30 @@
 	}
 	l, s := env.Limits, env.Safety
 	set := forkline.Settings{
-		Copies:         env.Balancers,
-		Rank:           env.Rank,
-		Stage:          env.Stage,
-		Stages:         len(env.Stages),
-		Zone:           env.Locality,
-		ListOnRequest:  env.Membership == "on_request",
-		WorthByWork:    env.WorthBy == "work",
-		ProbePrice:     env.Prices.Probe,
-		HeldField:      1 + slices.Index(env.Feedback.Fields, "busy_reqs"),
-		OverShareWorth: orDefault(env.OverShareWorth, 1),
+		Copies:          env.Balancers,
+		Rank:            env.Rank,
+		Stage:           env.Stage,
+		Stages:          len(env.Stages),
+		Zone:            env.Locality,
+		PollList:        env.Membership == "on_request",
+		ValueByWork:     env.WorthBy == "work",
+		ProbeCost:       env.Prices.Probe,
+		LoadReportField: 1 + slices.Index(env.Feedback.Fields, "busy_reqs"),
+		OverQuotaValue:  orDefault(env.OverShareWorth, 1),
 		Limits: forkline.Limits{
-			MaxAttempts: l.MaxAttempts, MaxOpen: l.OpenCap, Cancel: l.Cancel,
-			SecondCopies: l.SecondCopies, Probes: l.Probing, RetryAfter: l.RetryAfter,
+			MaxAttempts: l.MaxAttempts, MaxOpenRequests: l.OpenCap, CancelAttempts: l.Cancel,
+			Hedging: l.SecondCopies, Probing: l.Probing, SendRetryAfter: l.RetryAfter,
 			MaxRetryAfter: l.MaxRetryAfter, ConnectTimeout: l.ConnectTimeout,
-			ConnIdle: l.ConnIdle, Streams: l.StreamsPerConn,
+			ConnIdleTimeout: l.ConnIdle, StreamsPerConn: l.StreamsPerConn,
 		},
 		Safety: forkline.Safety{
-			AnswerSlack: s.AnswerSlack, DrainGrace: s.DrainGrace, ColdFrom: s.ColdFrom,
-			Ramp: s.RampTime, FallMultiple: s.FallMultiple, FallAfter: s.TipAfter, AskEvery: s.AskEvery,
-			DrainClose: s.DrainClose, BudgetFree: s.BudgetFree, BudgetShare: s.RepeatRatio, BudgetWindow: s.LookBack,
+			AnswerSlack: s.AnswerSlack, DrainGrace: s.DrainGrace, ColdCapacity: s.ColdFrom,
+			RampTime: s.RampTime, OverloadMultiple: s.FallMultiple, OverloadWindow: s.TipAfter, PollInterval: s.AskEvery,
+			DrainCloseTimeout: s.DrainClose, RetryBudgetMin: s.BudgetFree, RetryBudgetRatio: s.RepeatRatio, RetryBudgetWindow: s.LookBack,
 		},
 	}
 	if all := env.Goal.Whole + env.Goal.WorstWindow; all > 0 {
-		set.WorstClass = max(env.Goal.WorstClass, 0) / all
+		set.WorstClassWeight = max(env.Goal.WorstClass, 0) / all
 	}
 	for i, c := range env.Classes {
 		class, err := c.class()
@@ -158,15 +158,15 @@
 	}
 	group, ok := groups[c.Group]
 	if c.Group == "" {
-		group, ok = forkline.GroupCell, true
+		group, ok = forkline.ScopeCell, true
 	}
 	if !ok {
 		return forkline.Class{}, fmt.Errorf("group %q is unknown", c.Group)
 	}
 	return forkline.Class{
-		Name: c.Name, Worth: orDefault(c.Worth, 1), LateWorth: c.LateWorth,
-		Aim: c.Aim, AimStretch: c.AimStretch, GiveUp: c.GiveUp,
-		Effect: effect, Group: group, Window: c.DedupWindow, Stream: c.Stream,
+		Name: c.Name, Value: orDefault(c.Worth, 1), LateValue: c.LateWorth,
+		TargetLatency: c.Aim, TargetWorkFactor: c.AimStretch, Timeout: c.GiveUp,
+		Effect: effect, Scope: group, DedupWindow: c.DedupWindow, Stream: c.Stream,
 	}, nil
 }
 
--- a/limit_test.go
+++ b/limit_test.go
@@ -10,18 +10,18 @@
 	t.Helper()
 	set := plain()
 	for i := range set.Classes {
-		set.Classes[i].GiveUp = 60000
+		set.Classes[i].Timeout = 60000
 	}
 	h := start(t, set, ids(4)...)
 	for i := range 50 * seconds {
 		h.now += 20
 		id := uint32(i + 1)
-		for _, a := range h.do(Event{Kind: EvRequest, Request: id, Class: 0, Due: h.now + 60000}) {
+		for _, a := range h.do(Event{Kind: EvRequest, Request: id, Class: 0, Deadline: h.now + 60000}) {
 			if a.Kind != ActSend {
 				t.Fatalf("request %d: %+v", id, a)
 			}
 			service, took, fresh := answer(i)
-			h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Took: took, Service: service, Fresh: fresh, Done: true})
+			h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Elapsed: took, ServiceTime: service, NewConnection: fresh, RequestDone: true})
 		}
 		h.b.out = int(h.b.limit.most) // as many as may be are out, so that the limit may rise
 		if h.now+20 >= h.b.limit.reviseAt {
@@ -94,7 +94,7 @@
 func TestConnectingCallsHoldNoPlace(t *testing.T) {
 	h := start(t, plain(), ids(2)...)
 	h.b.limit.most, h.b.limit.reviseAt = 2, math.Inf(1)
-	h.b.sends.PerSecond, h.b.sends.At = 100, h.now
+	h.b.sends.PerSecond, h.b.sends.UpdatedAt = 100, h.now
 	sent := map[uint32]uint32{}
 	note := func(acts []Action) {
 		for _, a := range acts {
--- a/property_test.go
+++ b/property_test.go
@@ -55,18 +55,18 @@
 		t: t, rng: rand.New(rand.NewPCG(seed, 1)), set: plain(), now: 1000,
 		nextID: 1, calls: map[uint32]*call{}, servers: ids(servers),
 	}
-	w.set.Copies, w.set.ListOnRequest = 1+int(seed%7), seed%2 == 0
-	w.set.Limits.SecondCopies = seed%3 == 0
+	w.set.Copies, w.set.PollList = 1+int(seed%7), seed%2 == 0
+	w.set.Limits.Hedging = seed%3 == 0
 	w.set.Stage, w.set.Stages = int(seed%2), 2
 	if seed%4 < 2 {
-		w.set.Safety.BudgetFree, w.set.Safety.BudgetShare, w.set.Safety.BudgetWindow = 2, 0.2, 3000
+		w.set.Safety.RetryBudgetMin, w.set.Safety.RetryBudgetRatio, w.set.Safety.RetryBudgetWindow = 2, 0.2, 3000
 	}
 	if seed%3 > 0 {
-		w.set.Safety.DrainClose = 1500
+		w.set.Safety.DrainCloseTimeout = 1500
 	}
 	w.used = map[uint32]float64{}
-	w.set.Limits.Cancel = seed%5 > 0
-	w.set.Limits.Probes, w.set.HeldField = seed%6 > 2, 1
+	w.set.Limits.CancelAttempts = seed%5 > 0
+	w.set.Limits.Probing, w.set.LoadReportField = seed%6 > 2, 1
 	w.set.Tenants = []Tenant{{Quota: 5}, {Quota: 50}}
 	b, err := New(w.set, seed, w.now)
 	if err != nil {
@@ -93,19 +93,19 @@
 			w.checkSend(a)
 		case ActRefuse, ActFail:
 			w.checkEnd(a)
-		case ActClose:
+		case ActCloseIdle:
 			delete(w.used, a.Server)
 		case ActCancel:
-			if !w.set.Limits.Cancel || int(a.Attempt) >= len(w.calls[a.Request].attempts) {
+			if !w.set.Limits.CancelAttempts || int(a.Attempt) >= len(w.calls[a.Request].attempts) {
 				w.t.Fatalf("%v: cancels attempt %d of request %d", w.now, a.Attempt, a.Request)
 			}
 		case ActProbe:
-			if !w.set.Limits.Probes || w.entry(a.Server) == nil {
+			if !w.set.Limits.Probing || w.entry(a.Server) == nil {
 				w.t.Fatalf("%v: probes server %d", w.now, a.Server)
 			}
 			w.probes = append(w.probes, a.Server)
 		case ActTimer:
-			w.timers = append(w.timers, pending{w.now + max(a.After, 5) - 0.0004, a.Token}) // rounded to early
+			w.timers = append(w.timers, pending{w.now + max(a.Delay, 5) - 0.0004, a.Token}) // rounded to early
 		}
 	}
 }
@@ -130,10 +130,10 @@
 	case len(c.attempts) >= w.set.Limits.MaxAttempts:
 		w.t.Fatalf("%v: attempt %d of request %d", w.now, len(c.attempts), a.Request)
 	}
-	if len(c.attempts) > 0 && w.set.Safety.BudgetWindow > 0 {
+	if len(c.attempts) > 0 && w.set.Safety.RetryBudgetWindow > 0 {
 		w.further = append(w.further, w.now)
-		from, f := w.now-w.set.Safety.BudgetWindow, &w.set.Safety
-		if made := count(w.further, from); made > f.BudgetFree+f.BudgetShare*count(w.taken, from+1e-6)+1e-9 {
+		from, f := w.now-w.set.Safety.RetryBudgetWindow, &w.set.Safety
+		if made := count(w.further, from); made > f.RetryBudgetMin+f.RetryBudgetRatio*count(w.taken, from+1e-6)+1e-9 {
 			w.t.Fatalf("%v: %v further attempts, %v requests taken", w.now, made, count(w.taken, from))
 		}
 	}
@@ -148,7 +148,7 @@
 	w.t.Helper()
 	first := 0.0
 	for _, p := range c.attempts {
-		if p.open && !w.set.Limits.SecondCopies {
+		if p.open && !w.set.Limits.Hedging {
 			w.t.Fatalf("%v: two attempts of request %d at once", w.now, a.Request)
 		}
 		if !p.open && !p.maybe || class.Effect == Safe {
@@ -160,9 +160,9 @@
 		switch {
 		case class.Effect == Unsafe:
 			w.t.Fatalf("%v: unsafe request %d may have run and was sent again", w.now, a.Request)
-		case w.now >= first+class.Window:
+		case w.now >= first+class.DedupWindow:
 			w.t.Fatalf("%v: keyed request %d sent again after its window", w.now, a.Request)
-		case class.Group == GroupCell && p.cell != s.Cell || class.Group == GroupZone && p.zone != s.Zone:
+		case class.Scope == ScopeCell && p.cell != s.Cell || class.Scope == ScopeZone && p.zone != s.Zone:
 			w.t.Fatalf("%v: keyed request %d sent outside its group", w.now, a.Request)
 		}
 	}
@@ -188,7 +188,7 @@
 		w.t.Fatalf("%v: answer for request %d, due at %v", w.now, a.Request, c.due)
 	}
 	for _, class := range c.under {
-		harmful := class.Effect == Unsafe || class.Effect == Keyed && class.Group != GroupAll
+		harmful := class.Effect == Unsafe || class.Effect == Keyed && class.Scope != ScopeAll
 		for _, p := range c.attempts {
 			if a.Kind == ActRefuse && harmful && (p.open || p.maybe) {
 				w.t.Fatalf("%v: request %d refused though it may have run", w.now, a.Request)
@@ -219,16 +219,16 @@
 		id := w.order[w.rng.IntN(len(w.order))]
 		if c := w.calls[id]; !c.over {
 			w.over(id)
-			w.hand(Event{Kind: EvGone, Request: id})
+			w.hand(Event{Kind: EvClientGone, Request: id})
 		}
 	case p < 0.945 && len(w.probes) > 0:
-		ev := Event{Kind: EvProbe, Server: w.probes[0], Outcome: OK, Values: 1, Report: [4]float32{w.rng.Float32() * 9}}
+		ev := Event{Kind: EvProbeResult, Server: w.probes[0], Outcome: OK, LoadReportLen: 1, LoadReport: [4]float32{w.rng.Float32() * 9}}
 		w.probes = w.probes[1:]
-		if e := w.entry(ev.Server); e.State == Draining && w.set.Safety.DrainClose > 0 {
+		if e := w.entry(ev.Server); e.State == Draining && w.set.Safety.DrainCloseTimeout > 0 {
 			w.used[ev.Server] = w.now
 		}
 		w.hand(ev)
-	case p < 0.95 && w.set.ListOnRequest:
+	case p < 0.95 && w.set.PollList:
 		w.hand(Event{Kind: EvList, List: ListFailed})
 	case p < 0.951:
 		w.advance(w.now + 20000) // many seconds in which only timers and time-outs come
@@ -276,7 +276,7 @@
 	w.calls[id] = c
 	w.order = append(w.order, id)
 	w.taken = append(w.taken, w.now)
-	w.hand(Event{Kind: EvRequest, Request: id, Class: c.class, Tenant: uint16(id % 2), Due: c.due})
+	w.hand(Event{Kind: EvRequest, Request: id, Class: c.class, Tenant: uint16(id % 2), Deadline: c.due})
 }
 
 // finish closes a random open attempt with a random outcome.
@@ -289,7 +289,7 @@
 		if p.open {
 			out := OK
 			if w.rng.Float64() < 0.3 {
-				out = []Outcome{Error, Full, ConnectFailed, Reset, Cancelled, NotSent}[w.rng.IntN(6)]
+				out = []Outcome{Error, Rejected, ConnectFailed, Reset, Cancelled, NotSent}[w.rng.IntN(6)]
 			}
 			w.close(id, i, out)
 			return
@@ -300,15 +300,15 @@
 func (w *world) close(id uint32, i int, out Outcome) {
 	c := w.calls[id]
 	p := &c.attempts[i]
-	p.open, p.maybe = false, out != Full && out != ConnectFailed && out != NotSent
+	p.open, p.maybe = false, out != Rejected && out != ConnectFailed && out != NotSent
 	if out == OK && !c.over {
 		w.over(id)
 	}
-	if e := w.entry(p.server); e.State == Draining && w.set.Safety.DrainClose > 0 {
+	if e := w.entry(p.server); e.State == Draining && w.set.Safety.DrainCloseTimeout > 0 {
 		w.used[p.server] = w.now
 	}
 	w.hand(Event{Kind: EvOutcome, Request: id, Attempt: uint16(i), Server: p.server,
-		Outcome: out, Took: w.now - p.sentAt, Done: c.over})
+		Outcome: out, Elapsed: w.now - p.sentAt, RequestDone: c.over})
 }
 
 // change drains, removes, restarts, adds or moves a server.
@@ -319,12 +319,12 @@
 	case 4:
 		e.Zone, e.Cell = uint8(w.rng.IntN(2)), uint16(w.rng.IntN(2))
 	case 0:
-		if e.State != Draining && w.set.Safety.DrainClose > 0 {
+		if e.State != Draining && w.set.Safety.DrainCloseTimeout > 0 {
 			w.used[e.Server] = w.now
 		}
 		e.State = Draining
 	case 1:
-		e.State = Gone
+		e.State = Removed
 	default:
 		if e.State != Ready {
 			e.State, e.Started = Ready, w.now
@@ -336,7 +336,7 @@
 // sweep fails the test for a call that nobody answered and forgets the finished ones.
 func (w *world) sweep() {
 	for server, at := range w.used {
-		if w.now > at+w.set.Safety.DrainClose {
+		if w.now > at+w.set.Safety.DrainCloseTimeout {
 			w.t.Fatalf("%v: connections to server %d, which drains, not closed since %v", w.now, server, at)
 		}
 	}
@@ -397,7 +397,7 @@
 			b.Handle(now, &Event{
 				Kind: EventKind(raw[0] % 9), List: ListKind(raw[1] % 5), Outcome: Outcome(raw[1] % 9),
 				Class: uint16(raw[2] % 5), Request: uint32(raw[3] % 16), Attempt: uint16(raw[2] % 3),
-				Server: uint32(raw[4] % 8), Due: now + float64(raw[4]), Took: float64(raw[5]), Done: raw[1] > 99,
+				Server: uint32(raw[4] % 8), Deadline: now + float64(raw[4]), Elapsed: float64(raw[5]), RequestDone: raw[1] > 99,
 				Servers: []ServerEntry{{Server: uint32(raw[4] % 8), State: ServerState(raw[2] % 3), Started: float64(raw[1])}},
 			}, nil)
 		}
--- a/ramp_test.go
+++ b/ramp_test.go
@@ -98,8 +98,8 @@
 	t.Helper()
 	set := plain()
 	set.Copies, set.Rank, set.Zone = f.copies, i, i%max(f.zones, 1)
-	set.Classes = []Class{{Aim: 2000, GiveUp: 3000, Worth: 1}}
-	set.Safety.ColdFrom, set.Safety.Ramp, set.Safety.FallAfter = coldFirst, coldRamp, coldFall
+	set.Classes = []Class{{TargetLatency: 2000, Timeout: 3000, Value: 1}}
+	set.Safety.ColdCapacity, set.Safety.RampTime, set.Safety.OverloadWindow = coldFirst, coldRamp, coldFall
 	b, err := New(set, f.rng.Uint64(), f.now)
 	if err != nil {
 		t.Fatal(err)
@@ -126,9 +126,9 @@
 				f.sends[a.Server] = append(f.sends[a.Server], f.now)
 			}
 			took := f.serve(a.Server)
-			back(took, Event{Kind: EvOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Took: took, Done: true})
+			back(took, Event{Kind: EvOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Elapsed: took, RequestDone: true})
 		case ActTimer:
-			back(a.After, Event{Kind: EvTimer, Token: a.Token})
+			back(a.Delay, Event{Kind: EvTimer, Token: a.Token})
 		}
 	}
 }
@@ -165,7 +165,7 @@
 	f.at(f.now+f.rng.ExpFloat64()*1000/(rate*most), func() {
 		if f.rng.Float64()*most < f.factor(f.now) {
 			f.request++
-			f.hand(i, Event{Kind: EvRequest, Request: f.request, Due: f.now + 3000})
+			f.hand(i, Event{Kind: EvRequest, Request: f.request, Deadline: f.now + 3000})
 		}
 		f.arrivals(i, rate)
 	})
@@ -358,7 +358,7 @@
 // A server that is to start in the future gets a finite load, also where there is no time to become warm in.
 func TestColdServerWithoutRamp(t *testing.T) {
 	set := plain()
-	set.Safety.Ramp = 0
+	set.Safety.RampTime = 0
 	h := start(t, set, ServerEntry{Server: 1, Started: 5000})
 	h.request(1, 0)
 	if s := h.b.byID[1]; math.IsNaN(h.b.loadOf(s)) || math.IsNaN(s.credit) {
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -16,7 +16,7 @@
 	h.t.Helper()
 	set := h.b.set
 	if !h.b.budgetTold { // it holds the module's own figures
-		set.Safety.BudgetFree, set.Safety.BudgetShare, set.Safety.BudgetWindow = 0, 0, 0
+		set.Safety.RetryBudgetMin, set.Safety.RetryBudgetRatio, set.Safety.RetryBudgetWindow = 0, 0, 0
 	}
 	set.Classes, set.Tenants = slices.Clone(set.Classes), slices.Clone(set.Tenants)
 	edit(&set)
@@ -38,10 +38,10 @@
 	h := start(t, set, servers...)
 	for id := uint32(1); id <= 60; id++ {
 		h.now += 15
-		for _, a := range h.do(Event{Kind: EvRequest, Request: id, Class: uint16(id % 3), Tenant: uint16(id % 2), Due: h.now + 900}) {
+		for _, a := range h.do(Event{Kind: EvRequest, Request: id, Class: uint16(id % 3), Tenant: uint16(id % 2), Deadline: h.now + 900}) {
 			if a.Kind == ActSend && id <= 50 {
 				h.now += 5
-				h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Took: 5 + float64(id), Done: true})
+				h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Elapsed: 5 + float64(id), RequestDone: true})
 			}
 		}
 	}
@@ -56,10 +56,10 @@
 	for want, spoil := range map[string]func(*Settings){
 		"Stage cannot change from 0 to 1":                func(s *Settings) { s.Stages, s.Stage = 1, 1; s.Stages = 2 },
 		"Stages cannot change from 1 to 4":               func(s *Settings) { s.Stages = 4 },
-		"ListOnRequest cannot change from false to true": func(s *Settings) { s.ListOnRequest = true },
+		"ListOnRequest cannot change from false to true": func(s *Settings) { s.PollList = true },
 		"Classes is empty":                               func(s *Settings) { s.Classes = nil },
-		"GiveUp -1":                                      func(s *Settings) { s.Classes[0].GiveUp = -1 },
-		"Ramp NaN":                                       func(s *Settings) { s.Safety.Ramp = math.NaN() },
+		"GiveUp -1":                                      func(s *Settings) { s.Classes[0].Timeout = -1 },
+		"Ramp NaN":                                       func(s *Settings) { s.Safety.RampTime = math.NaN() },
 		"Effect 7":                                       func(s *Settings) { s.Classes[1].Effect = 7 },
 	} {
 		h, untouched := busy(t), busy(t)
@@ -88,7 +88,7 @@
 	for i := range h.b.tenants {
 		for _, b := range []*Balancer{h.b, untouched.b} { // refilled up to now or later, it is the same bucket
 			t := &b.tenants[i]
-			t.Tokens, t.At = math.Round(1e6*t.Held(b.now)), b.now
+			t.Tokens, t.UpdatedAt = math.Round(1e6*t.Available(b.now)), b.now
 		}
 	}
 	if !reflect.DeepEqual(h.b, untouched.b) {
@@ -98,7 +98,7 @@
 
 // How far a request may be repeated that is out while its class changes: as far as both allow.
 func TestOpenRequestsKeepTheStricterRule(t *testing.T) {
-	keyed := func(window float64, g Group) Class { return Class{Effect: Keyed, Window: window, Group: g} }
+	keyed := func(window float64, g DedupScope) Class { return Class{Effect: Keyed, DedupWindow: window, Scope: g} }
 	safe, unsafe := Class{Effect: Safe}, Class{Effect: Unsafe}
 	for _, c := range []struct {
 		name  string
@@ -109,24 +109,24 @@
 		{"safe stays", safe, []Class{safe}, "anywhere"},
 		{"safe, then unsafe", safe, []Class{unsafe}, "nowhere"},
 		{"unsafe, then safe", unsafe, []Class{safe}, "nowhere"},
-		{"unsafe, then keyed", unsafe, []Class{keyed(900, GroupAll)}, "nowhere"},
-		{"keyed, then unsafe", keyed(900, GroupAll), []Class{unsafe}, "nowhere"},
+		{"unsafe, then keyed", unsafe, []Class{keyed(900, ScopeAll)}, "nowhere"},
+		{"keyed, then unsafe", keyed(900, ScopeAll), []Class{unsafe}, "nowhere"},
 		{"safe, unsafe and safe again", safe, []Class{unsafe, safe}, "nowhere"},
-		{"safe, then keyed", safe, []Class{keyed(900, GroupCell)}, "cell"},
-		{"keyed, then safe", keyed(900, GroupCell), []Class{safe}, "cell"},
-		{"shorter window", keyed(900, GroupAll), []Class{keyed(50, GroupAll)}, "nowhere"},
-		{"longer window", keyed(50, GroupAll), []Class{keyed(900, GroupAll)}, "nowhere"},
-		{"smaller group", keyed(900, GroupAll), []Class{keyed(900, GroupCell)}, "cell"},
-		{"larger group", keyed(900, GroupZone), []Class{keyed(900, GroupAll)}, "zone"},
-		{"another group", keyed(900, GroupZone), []Class{keyed(900, GroupCell)}, "both"},
-		{"three groups", keyed(900, GroupCell), []Class{keyed(900, GroupAll), keyed(900, GroupZone)}, "both"},
+		{"safe, then keyed", safe, []Class{keyed(900, ScopeCell)}, "cell"},
+		{"keyed, then safe", keyed(900, ScopeCell), []Class{safe}, "cell"},
+		{"shorter window", keyed(900, ScopeAll), []Class{keyed(50, ScopeAll)}, "nowhere"},
+		{"longer window", keyed(50, ScopeAll), []Class{keyed(900, ScopeAll)}, "nowhere"},
+		{"smaller group", keyed(900, ScopeAll), []Class{keyed(900, ScopeCell)}, "cell"},
+		{"larger group", keyed(900, ScopeZone), []Class{keyed(900, ScopeAll)}, "zone"},
+		{"another group", keyed(900, ScopeZone), []Class{keyed(900, ScopeCell)}, "both"},
+		{"three groups", keyed(900, ScopeCell), []Class{keyed(900, ScopeAll), keyed(900, ScopeZone)}, "both"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for where, other := range map[string]ServerEntry{
 				"anywhere": {Zone: 1, Cell: 1}, "zone": {Cell: 1}, "cell": {Zone: 1}, "both": {},
 			} {
 				class := func(r Class) Class {
-					r.Name, r.Worth, r.Aim, r.GiveUp = "x", 1, 500, 1000
+					r.Name, r.Value, r.TargetLatency, r.Timeout = "x", 1, 500, 1000
 					return r
 				}
 				set := plain()
@@ -139,7 +139,7 @@
 				for _, n := range c.new {
 					h.reconfigure(func(s *Settings) { s.Classes = []Class{class(n), set.Classes[0]} })
 				}
-				acts := h.do(Event{Kind: EvOutcome, Request: 5, Server: 1, Outcome: Reset, Took: 100})
+				acts := h.do(Event{Kind: EvOutcome, Request: 5, Server: 1, Outcome: Reset, Elapsed: 100})
 				again := len(acts) == 1 && acts[0].Kind == ActSend && acts[0].Server == 2
 				same := len(acts) == 1 && acts[0].Kind == ActSend && acts[0].Server == 1 // which is in all its groups
 				want := c.where == "anywhere" || c.where == where || where == "both" && c.where != "nowhere"
@@ -147,7 +147,7 @@
 					t.Errorf("allowed %s, another server there is in the same %s: %+v", c.where, where, acts)
 				}
 				kind := ActFail // it may have run
-				if c.old.Effect == Keyed && c.new[0] == keyed(c.new[0].Window, GroupAll) {
+				if c.old.Effect == Keyed && c.new[0] == keyed(c.new[0].DedupWindow, ScopeAll) {
 					kind = ActRefuse // all servers know its key
 				}
 				if c.where == "nowhere" && (len(acts) != 1 || acts[0].Kind != kind) {
@@ -164,15 +164,15 @@
 	h.request(5, 0)
 	h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 2, Cell: 1}, {Server: 3}}})
 	h.b.byID[3].State = Draining // the second attempt goes to the other cell
-	acts := h.do(Event{Kind: EvOutcome, Request: 5, Server: 1, Outcome: Reset, Took: 5})
+	acts := h.do(Event{Kind: EvOutcome, Request: 5, Server: 1, Outcome: Reset, Elapsed: 5})
 	if len(acts) != 1 || acts[0].Server != 2 {
 		t.Fatalf("second attempt: %+v", acts)
 	}
 	h.b.byID[3].State = Ready
 	h.reconfigure(func(s *Settings) {
-		s.Classes[0].Effect, s.Classes[0].Window, s.Classes[0].Group = Keyed, 900, GroupCell
+		s.Classes[0].Effect, s.Classes[0].DedupWindow, s.Classes[0].Scope = Keyed, 900, ScopeCell
 	})
-	acts = h.do(Event{Kind: EvOutcome, Request: 5, Attempt: 1, Server: 2, Outcome: Reset, Took: 5})
+	acts = h.do(Event{Kind: EvOutcome, Request: 5, Attempt: 1, Server: 2, Outcome: Reset, Elapsed: 5})
 	if len(acts) != 1 || acts[0].Kind != ActFail {
 		t.Errorf("%+v, want a failure", acts)
 	}
@@ -184,7 +184,7 @@
 	h.b.limit.reviseAt = math.Inf(1)
 	h.request(1, 0)
 	h.b.limit.most = 0 // crowded from here on
-	if acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: Reset, Took: 5}); len(acts) > 0 {
+	if acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: Reset, Elapsed: 5}); len(acts) > 0 {
 		t.Fatalf("it must wait: %+v", acts)
 	}
 	h.request(2, 2)
@@ -208,7 +208,7 @@
 	h.request(2, 2)
 	old := plain().Classes
 	h.reconfigure(func(s *Settings) {
-		s.Classes = []Class{{Name: "new", Worth: 1, Aim: 100, GiveUp: 300}, old[2], old[1]}
+		s.Classes = []Class{{Name: "new", Value: 1, TargetLatency: 100, Timeout: 300}, old[2], old[1]}
 	})
 	c := h.b.classes
 	if c[0].latency != 0 || c[0].served != 1 || c[1].latency != 30 || c[1].served != 0.7 || c[2].latency != 20 {
@@ -226,11 +226,11 @@
 	if acts := h.request(4, 0); len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Errorf("%+v for the new class", acts)
 	}
-	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: Reset, Took: 5})
+	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: Reset, Elapsed: 5})
 	if len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Errorf("%+v, want that a safe request goes on in the class that is gone", acts)
 	}
-	h.do(Event{Kind: EvOutcome, Request: 1, Attempt: 1, Server: acts[0].Server, Outcome: OK, Took: 5, Done: true})
+	h.do(Event{Kind: EvOutcome, Request: 1, Attempt: 1, Server: acts[0].Server, Outcome: OK, Elapsed: 5, RequestDone: true})
 	h.reconfigure(func(*Settings) {})
 	if len(h.b.classes) != 3 || h.b.requests[1] != nil {
 		t.Errorf("%d classes, want that the one that is gone ends with its last request", len(h.b.classes))
@@ -245,14 +245,14 @@
 	due, aimAt := h.b.requests[60].due, h.b.requests[60].aimAt
 	h.reconfigure(func(s *Settings) {
 		for i := range s.Classes {
-			s.Classes[i].Aim, s.Classes[i].GiveUp = s.Classes[i].Aim/2, 100
+			s.Classes[i].TargetLatency, s.Classes[i].Timeout = s.Classes[i].TargetLatency/2, 100
 		}
 	})
 	s := h.b.live[0]
 	if s.load != server.load || s.credit < server.credit || s.count != server.count || s.samples != server.samples || s.good != server.good {
 		t.Error("what was learned of a server is lost")
 	}
-	if h.b.limit.most != was.limit.most || h.b.pooled != was.pooled || h.b.sends != was.sends || h.b.taken.Held() != was.taken.Held() {
+	if h.b.limit.most != was.limit.most || h.b.pooled != was.pooled || h.b.sends != was.sends || h.b.taken.Len() != was.taken.Len() {
 		t.Error("what was learned of the tier is lost")
 	}
 	if q := h.b.requests[60]; q.due != due || q.aimAt != aimAt {
@@ -280,10 +280,10 @@
 	h.b.Handle(h.now, &Event{Kind: EvTimer}, nil)
 	h.reconfigure(func(s *Settings) { s.Tenants = []Tenant{{"new", 7}, {"b", 20}, {"a", 100}, {"c", 5}} })
 	for i, want := range []stats.TokenBucket{
-		{Tokens: 14, At: h.now, Rate: 7, Most: 14}, {Tokens: 40, At: h.now, Rate: 20, Most: 40},
-		{Tokens: 4, At: h.now, Rate: 100, Most: 200}, {Tokens: 10, At: h.now, Rate: 5, Most: 10},
+		{Tokens: 14, UpdatedAt: h.now, Rate: 7, Capacity: 14}, {Tokens: 40, UpdatedAt: h.now, Rate: 20, Capacity: 40},
+		{Tokens: 4, UpdatedAt: h.now, Rate: 100, Capacity: 200}, {Tokens: 10, UpdatedAt: h.now, Rate: 5, Capacity: 10},
 	} {
-		if got := h.b.tenants[i]; math.Abs(got.Tokens-want.Tokens) > 1e-9 || got.Rate != want.Rate || got.Most != want.Most || got.At != want.At {
+		if got := h.b.tenants[i]; math.Abs(got.Tokens-want.Tokens) > 1e-9 || got.Rate != want.Rate || got.Capacity != want.Capacity || got.UpdatedAt != want.UpdatedAt {
 			t.Errorf("bucket %d: %+v, want %+v", i, got, want)
 		}
 	}
@@ -318,25 +318,25 @@
 		h := start(t, plain(), ids(3)...)
 		acts := h.request(1, 0)
 		h.reconfigure(func(s *Settings) { s.Limits.MaxAttempts = 1 })
-		if acts = h.do(Event{Kind: EvOutcome, Request: 1, Server: acts[0].Server, Outcome: Full, Took: 1}); len(acts) != 1 || acts[0].Kind != ActRefuse {
+		if acts = h.do(Event{Kind: EvOutcome, Request: 1, Server: acts[0].Server, Outcome: Rejected, Elapsed: 1}); len(acts) != 1 || acts[0].Kind != ActRefuse {
 			t.Errorf("%+v, want no second attempt", acts)
 		}
 	})
 	t.Run("open", func(t *testing.T) {
 		h := start(t, plain(), ids(3)...)
 		h.request(1, 0)
-		h.reconfigure(func(s *Settings) { s.Limits.MaxOpen = 1 })
+		h.reconfigure(func(s *Settings) { s.Limits.MaxOpenRequests = 1 })
 		if acts := h.request(2, 0); len(acts) != 1 || acts[0].Kind != ActRefuse {
 			t.Errorf("%+v, want a refusal past the bound", acts)
 		}
 	})
 	t.Run("no cancelling any more", func(t *testing.T) {
 		set := plain()
-		set.Limits.Cancel = true
+		set.Limits.CancelAttempts = true
 		h := start(t, set, ids(3)...)
 		h.b.classes[0].latency = 10
 		h.request(1, 0)
-		h.reconfigure(func(s *Settings) { s.Limits.Cancel = false })
+		h.reconfigure(func(s *Settings) { s.Limits.CancelAttempts = false })
 		h.now += 200
 		if acts := h.do(Event{Kind: EvTimer}); len(acts) > 0 {
 			t.Errorf("%+v: the site does not permit that any more", acts)
@@ -344,7 +344,7 @@
 	})
 	t.Run("no second run of a silent attempt", func(t *testing.T) {
 		set := plain()
-		set.Limits.Cancel = true
+		set.Limits.CancelAttempts = true
 		h := start(t, set, ids(3)...)
 		h.b.classes[0].latency = 10
 		h.request(1, 0)
@@ -357,16 +357,16 @@
 	t.Run("budget", func(t *testing.T) {
 		h := start(t, plain(), ids(3)...)
 		acts := h.request(1, 0)
-		h.reconfigure(func(s *Settings) { s.Safety.BudgetWindow = 1000 }) // none at all
-		if acts = h.do(Event{Kind: EvOutcome, Request: 1, Server: acts[0].Server, Outcome: Full, Took: 1}); len(acts) != 1 || acts[0].Kind != ActRefuse {
+		h.reconfigure(func(s *Settings) { s.Safety.RetryBudgetWindow = 1000 }) // none at all
+		if acts = h.do(Event{Kind: EvOutcome, Request: 1, Server: acts[0].Server, Outcome: Rejected, Elapsed: 1}); len(acts) != 1 || acts[0].Kind != ActRefuse {
 			t.Errorf("%+v, want no further attempt", acts)
 		}
 	})
 	t.Run("idle connections in a drain", func(t *testing.T) {
 		h := start(t, plain(), ids(2)...)
 		h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 100, State: Draining}}})
-		acts := h.reconfigure(func(s *Settings) { s.Safety.DrainClose = 1000 })
-		if len(acts) != 1 || acts[0].Kind != ActClose || acts[0].Server != 100 {
+		acts := h.reconfigure(func(s *Settings) { s.Safety.DrainCloseTimeout = 1000 })
+		if len(acts) != 1 || acts[0].Kind != ActCloseIdle || acts[0].Server != 100 {
 			t.Errorf("%+v, want that those to the server that drains are closed", acts)
 		}
 	})
@@ -374,7 +374,7 @@
 		servers := ids(2)
 		servers[0].Started = 900
 		h := start(t, plain(), servers...)
-		h.reconfigure(func(s *Settings) { s.Safety.Ramp = 50 }) // it is over
+		h.reconfigure(func(s *Settings) { s.Safety.RampTime = 50 }) // it is over
 		h.request(1, 0)
 		if h.b.byID[100].cold {
 			t.Error("a server is cold past the new time")
@@ -389,18 +389,18 @@
 	set := w.set
 	set.Classes = nil
 	for _, i := range w.rng.Perm(5)[:1+w.rng.IntN(4)] {
-		c := Class{Name: string(rune('a' + i)), Worth: 1 + float64(i), Aim: 200 + 600*w.rng.Float64(), GiveUp: 1000,
-			Effect: Effect(w.rng.IntN(3)), Group: Group(w.rng.IntN(3))}
+		c := Class{Name: string(rune('a' + i)), Value: 1 + float64(i), TargetLatency: 200 + 600*w.rng.Float64(), Timeout: 1000,
+			Effect: Effect(w.rng.IntN(3)), Scope: DedupScope(w.rng.IntN(3))}
 		if c.Effect == Keyed {
-			c.Window = 50 + 400*w.rng.Float64()
+			c.DedupWindow = 50 + 400*w.rng.Float64()
 		}
 		set.Classes = append(set.Classes, c)
 	}
 	set.Copies, set.Rank = 1+w.rng.IntN(7), w.rng.IntN(7)
-	set.Limits.MaxAttempts, set.Limits.Cancel, set.Limits.MaxOpen = 1+w.rng.IntN(3), w.rng.IntN(2) == 0, 40*w.rng.IntN(2)
-	set.Safety.Ramp, set.Safety.ColdFrom = 20000*w.rng.Float64(), w.rng.Float64()
-	set.Safety.DrainClose = 1500 * float64(w.rng.IntN(2))
-	set.Safety.BudgetFree, set.Safety.BudgetShare = 3*w.rng.Float64(), 0.3*w.rng.Float64()
+	set.Limits.MaxAttempts, set.Limits.CancelAttempts, set.Limits.MaxOpenRequests = 1+w.rng.IntN(3), w.rng.IntN(2) == 0, 40*w.rng.IntN(2)
+	set.Safety.RampTime, set.Safety.ColdCapacity = 20000*w.rng.Float64(), w.rng.Float64()
+	set.Safety.DrainCloseTimeout = 1500 * float64(w.rng.IntN(2))
+	set.Safety.RetryBudgetMin, set.Safety.RetryBudgetRatio = 3*w.rng.Float64(), 0.3*w.rng.Float64()
 	set.Tenants = []Tenant{{Name: "t", Quota: 50 * w.rng.Float64()}, {Name: string(rune('t' + w.rng.IntN(3))), Quota: 5}}
 	if w.rng.IntN(4) == 0 { // one that cannot be used counts for nothing
 		set.Stages++
@@ -416,7 +416,7 @@
 	}
 	clear(w.used)
 	for _, s := range w.servers {
-		if s.State == Draining && set.Safety.DrainClose > 0 {
+		if s.State == Draining && set.Safety.DrainCloseTimeout > 0 {
 			w.used[s.Server] = w.now
 		}
 	}
@@ -465,7 +465,7 @@
 	h := start(t, plain(), ids(1)...)
 	h.b.limit.reviseAt, h.b.limit.most, h.b.classes[0].latency = math.Inf(1), 0, 400
 	h.request(1, 0) // its aim is in 500 ms, and its answer takes 350 of them at most
-	h.reconfigure(func(s *Settings) { s.Classes[0].Aim = 900 })
+	h.reconfigure(func(s *Settings) { s.Classes[0].TargetLatency = 900 })
 	h.now += 120
 	if acts := h.do(Event{Kind: EvTimer}); len(acts) != 1 || acts[0].Kind != ActRefuse {
 		t.Errorf("%+v, want its end, as an answer takes the 400 ms that are measured", acts)
--- a/retry.go
+++ b/retry.go
@@ -19,7 +19,7 @@
 // tryTimeout is how long a call waits for a server that says nothing; 0 = to its end. An inner copy hears of
 // each server too seldom to tell, but for an ejected one; a call that may not run twice is not sent twice.
 func (b *Balancer) tryTimeout(q *request, s *server) float64 {
-	if b.set.Stage > 0 && !s.ejected || !b.set.Limits.Cancel || b.classes[q.class].Effect != Safe {
+	if b.set.Stage > 0 && !s.ejected || !b.set.Limits.CancelAttempts || b.classes[q.class].Effect != Safe {
 		return 0
 	}
 	return tryTimeoutMeans * b.classes[q.class].latency
@@ -71,8 +71,8 @@
 // lets a full one and its refill through within one window.
 func (b *Balancer) budgetLeft() float64 {
 	f := &b.set.Safety
-	taken, made := b.taken.Since(b.now-f.BudgetWindow), b.further.Since(b.now-f.BudgetWindow)
-	return f.BudgetFree + f.BudgetShare*float64(taken) - float64(made)
+	taken, made := b.taken.CountSince(b.now-f.RetryBudgetWindow), b.further.CountSince(b.now-f.RetryBudgetWindow)
+	return f.RetryBudgetMin + f.RetryBudgetRatio*float64(taken) - float64(made)
 }
 
 // permitted tells whether the rules let a call that may have an attempt have it at this server.
@@ -84,11 +84,11 @@
 	if !q.mayRun || c.Effect == Safe {
 		return true
 	}
-	outside := func(a attempt) bool { return a.sentAt >= q.firstRun && !c.Group.remembers(&a, s) }
-	return c.Effect == Keyed && b.now < q.firstRun+c.Window && !slices.ContainsFunc(q.attempts, outside)
+	outside := func(a attempt) bool { return a.sentAt >= q.firstRun && !c.Scope.remembers(&a, s) }
+	return c.Effect == Keyed && b.now < q.firstRun+c.DedupWindow && !slices.ContainsFunc(q.attempts, outside)
 }
 
 // remembers tells whether a server is in the group that an attempt was sent to.
-func (g Group) remembers(a *attempt, s *server) bool {
-	return (g&GroupZone == 0 || a.zone == s.Zone) && (g&GroupCell == 0 || a.cell == s.Cell)
+func (g DedupScope) remembers(a *attempt, s *server) bool {
+	return (g&ScopeZone == 0 || a.zone == s.Zone) && (g&ScopeCell == 0 || a.cell == s.Cell)
 }
--- a/scale_test.go
+++ b/scale_test.go
@@ -27,10 +27,10 @@
 	now, used := 1000.0, map[uint32]bool{}
 	for id := uint32(1); id <= 4*many; id++ {
 		now += 40
-		for _, a := range b.Handle(now, &Event{Kind: EvRequest, Request: id, Due: now + 1000}, nil) {
+		for _, a := range b.Handle(now, &Event{Kind: EvRequest, Request: id, Deadline: now + 1000}, nil) {
 			if a.Kind == ActSend {
 				used[a.Server] = true
-				b.Handle(now, &Event{Kind: EvOutcome, Request: a.Request, Server: a.Server, Took: 20, Done: true}, nil)
+				b.Handle(now, &Event{Kind: EvOutcome, Request: a.Request, Server: a.Server, Elapsed: 20, RequestDone: true}, nil)
 			}
 		}
 	}
--- a/settings.go
+++ b/settings.go
@@ -16,7 +16,7 @@
 	if err := cmp.Or(set.check(), set.follows(&b.set)); err != nil {
 		return actions, fmt.Errorf("forkline: %w", err)
 	}
-	b.now, b.acts = later(b.now, now), actions
+	b.now, b.acts = advanceClock(b.now, now), actions
 	b.configure(set)
 	for _, s := range b.byID {
 		if s.cold {
@@ -36,10 +36,10 @@
 		was, is any
 	}{
 		{"Stage", old.Stage, set.Stage}, {"Stages", old.Stages, set.Stages}, // another tier
-		{"ListOnRequest", old.ListOnRequest, set.ListOnRequest},
+		{"ListOnRequest", old.PollList, set.PollList},
 	} {
 		if s.was != s.is {
-			return unusable(s.name, "cannot change from %v to %v in a running copy", s.was, s.is)
+			return newSettingError(s.name, "cannot change from %v to %v in a running copy", s.was, s.is)
 		}
 	}
 	return nil
@@ -49,9 +49,9 @@
 func (c Class) stricter(o *Class) Class {
 	switch {
 	case c.Effect == Keyed && o.Effect == Keyed:
-		c.Window, c.Group = min(c.Window, o.Window), c.Group|o.Group
+		c.DedupWindow, c.Scope = min(c.DedupWindow, o.DedupWindow), c.Scope|o.Scope
 	case c.Effect < o.Effect:
-		c.Effect, c.Window, c.Group = o.Effect, o.Window, o.Group
+		c.Effect, c.DedupWindow, c.Scope = o.Effect, o.DedupWindow, o.Scope
 	}
 	return c
 }
@@ -77,7 +77,7 @@
 	for i, t := range b.set.Tenants {
 		n := slices.IndexFunc(old.set.Tenants, func(o Tenant) bool { return o.Name == t.Name })
 		if n >= 0 && old.tenants[n].Rate > 0 {
-			b.tenants[i].Tokens = min(old.tenants[n].Held(b.now), b.tenants[i].Most)
+			b.tenants[i].Tokens = min(old.tenants[n].Available(b.now), b.tenants[i].Capacity)
 		}
 	}
 	classes := map[uint16]uint16{} // those of before that are open, by number, and what goes on in their place
