--- a/api.go
+++ b/api.go
@@ -5,24 +5,25 @@
 	"math"
 )
 
-// This file is the whole interface of the decision module: what it is told at
-// start (Settings), what it hears (Event) and what it answers (Action). The
-// decisions themselves are in balancer.go. All times are milliseconds.
+// This file is the public interface of the decision module: its configuration
+// (Settings), its input (Event) and its output (Action). The decisions are made
+// in balancer.go. All times and durations are in milliseconds.
 
-// Effect says how far a request of a class may be repeated.
+// Effect describes the side effects of a class and so whether its requests may be retried.
 type Effect uint8
 
-// The three kinds of effect.
+// The values of Effect.
 const (
-	Safe   Effect = iota // may be repeated freely
-	Keyed                // repeats are dropped within a group of servers, for a while
-	Unsafe               // must never run twice
+	Safe   Effect = iota // no side effects: may be retried on any server
+	Keyed                // has an idempotency key: servers of one DedupScope drop repeats within the DedupWindow
+	Unsafe               // must not run more than once
 )
 
-// DedupScope is the set of servers that drop repeats of a keyed request. GroupZone|GroupCell is what is in both.
+// DedupScope is the set of servers that drop repeats of a keyed request among themselves. ScopeZone|ScopeCell is
+// the set of servers that are in the same zone and in the same cell.
 type DedupScope uint8
 
-// The groups of a keyed class.
+// The deduplication scopes of a keyed class.
 const (
 	ScopeAll DedupScope = iota
 	ScopeZone
@@ -32,74 +33,74 @@
 // Class describes one class of requests.
 type Class struct {
 	Name             string
-	Value            float64 // of one request answered in time; default 1
-	LateValue        float64 // share of Worth that an answer after Aim still earns
-	TargetLatency    float64 // wanted within
-	TargetWorkFactor float64 // the aim grows by this multiple of the request's own work
-	Timeout          float64 // given up after
+	Value            float64 // of one request that is answered within TargetLatency; default 1
+	LateValue        float64 // share of Value that an answer after TargetLatency still earns
+	TargetLatency    float64 // latency within which an answer earns the full Value
+	TargetWorkFactor float64 // TargetLatency grows by this multiple of the request's own work
+	Timeout          float64 // time after which the client gives up
 	Effect           Effect
-	Scope            DedupScope // keyed only
-	DedupWindow      float64    // keyed only: how long the group remembers a request
+	Scope            DedupScope // keyed classes only
+	DedupWindow      float64    // keyed classes only: how long the servers of the scope remember a request
 	Stream           bool
 }
 
-// Tenant is one of those who share the service.
+// Tenant describes one of the tenants that share the service.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests a second over all copies; 0 = no quota
+	Quota float64 // requests per second over all copies; 0 = unlimited
 }
 
-// Limits are what the site permits.
+// Limits holds what the site permits a balancer to do.
 type Limits struct {
-	MaxAttempts     int // per request; default 1
-	MaxOpenRequests int // open requests per copy; 0 = no bound
-	CancelAttempts  bool
-	Hedging         bool
-	Probing         bool
-	SendRetryAfter  bool
-	MaxRetryAfter   float64
+	MaxAttempts     int     // attempts per request; default 1
+	MaxOpenRequests int     // open requests per copy; 0 = unlimited
+	CancelAttempts  bool    // whether running attempts may be cancelled
+	Hedging         bool    // whether hedged attempts may be sent
+	Probing         bool    // whether servers may be probed for load reports
+	SendRetryAfter  bool    // whether refusals carry a retry delay
+	MaxRetryAfter   float64 // longest retry delay; 0 = no limit of the site
 	ConnectTimeout  float64
-	ConnIdleTimeout float64 // an idle connection closes after this; 0 = not told
-	StreamsPerConn  int     // attempts that one connection carries at once; default 1
+	ConnIdleTimeout float64 // time after which an idle connection closes; 0 = not stated
+	StreamsPerConn  int     // concurrent attempts per connection; default 1
 }
 
-// Safety holds the figures of the four rules.
+// Safety holds the parameters of the four safety rules.
 type Safety struct {
-	AnswerSlack       float64 // a final answer is valid so long after the due time
+	AnswerSlack       float64 // a final answer is valid for this long after its deadline
 	DrainGrace        float64
 	ColdCapacity      float64 // a cold server starts with at least this share of its capacity
-	RampTime          float64 // and is warm after this time at the latest
-	OverloadMultiple  float64
-	OverloadWindow    float64
-	PollInterval      float64 // on-request lists: ask at least so often
-	DrainCloseTimeout float64 // idle connections to a draining server are closed within this; 0 = no such rule
-	RetryBudgetMin    float64 // within any BudgetWindow, attempts beyond each request's first may number this
-	RetryBudgetRatio  float64 // plus this share of the requests taken
-	RetryBudgetWindow float64 // 0 = no such rule
+	RampTime          float64 // a server is warm at the latest this long after its start
+	OverloadMultiple  float64 // a cold server fails if its load exceeds this multiple of its capacity
+	OverloadWindow    float64 // over this time
+	PollInterval      float64 // longest interval between calls for the list where the list is polled
+	DrainCloseTimeout float64 // idle connections to a draining server are closed within this time; 0 = no such rule
+	RetryBudgetMin    float64 // attempts after the first of each request that any RetryBudgetWindow allows
+	RetryBudgetRatio  float64 // plus this share of the requests accepted in the window
+	RetryBudgetWindow float64 // length of the sliding window; 0 = no retry budget
 }
 
-// Settings is everything a balancer copy is told at start. Absent figures take
-// the defaults that the fields name.
+// Settings is the configuration of one balancer copy. A field that is absent takes the default that its comment
+// states.
 type Settings struct {
-	Copies           int // copies that balance for this tier; default 1
-	Rank             int // number of this copy among them
-	Stage, Stages    int // the tier this copy sends to, of how many; 0 is the front
-	Zone             int // where this copy runs
-	PollList         bool
-	ValueByWork      bool
-	ProbeCost        float64 // points of the goal for one probe a request
-	LoadReportField  int     // place of the requests a server holds in a load report, from 1; 0 = not told
-	WorstClassWeight float64 // weight of the worst-served class in the goal, over that of all worth
-	OverQuotaValue   float64 // worth of a request beyond its tenant's quota, as a share
+	Copies           int     // number of balancer copies of this tier; default 1
+	Rank             int     // index of this copy among them
+	Stage, Stages    int     // index of the tier that this copy sends to, and the number of tiers; 0 is the front
+	Zone             int     // zone in which this copy runs
+	PollList         bool    // the server list is polled, not pushed
+	ValueByWork      bool    // a request's value is proportional to its work
+	ProbeCost        float64 // cost in points of the goal of one probe per request
+	LoadReportField  int     // position in a load report, from 1, of the number of requests a server holds; 0 = not reported
+	WorstClassWeight float64 // weight of the worst-served class in the goal, relative to that of the total value
+	OverQuotaValue   float64 // value of a request over its tenant's quota, as a share of its class's value
 	Classes          []Class
 	Tenants          []Tenant
 	Limits           Limits
 	Safety           Safety
 }
 
-// SettingError tells which setting cannot be used, and why.
+// SettingError reports a setting that is invalid and the reason.
 type SettingError struct {
-	Setting string // its path in Settings, as Classes[0].Effect
+	Setting string // path in the configuration, such as Classes[0].Effect
 	Problem string
 }
 
@@ -107,12 +108,13 @@
 	return fmt.Sprintf("setting %s %s: correct the configuration, then start again or send SIGHUP", e.Setting, e.Problem)
 }
 
-// newSettingError is the error of a setting; the problem is formatted.
+// newSettingError returns a SettingError whose problem is formatted from a format string and its arguments.
 func newSettingError(setting, problem string, of ...any) error {
 	return &SettingError{Setting: setting, Problem: fmt.Sprintf(problem, of...)}
 }
 
-// check fills defaults in and names the first setting that cannot be used.
+// check fills in defaults and returns an error for the first invalid setting. The names in the errors are those of
+// the configuration, not of the Go fields.
 func (set *Settings) check() error {
 	set.Copies, set.Stages = max(set.Copies, 1), max(set.Stages, 1)
 	set.Limits.MaxAttempts = max(set.Limits.MaxAttempts, 1)
@@ -144,17 +146,17 @@
 	return nil
 }
 
-// ServerState is what the list says of a server.
+// ServerState is the state of a server as stated by the server list.
 type ServerState uint8
 
-// The states a list can tell.
+// The server states.
 const (
 	Ready ServerState = iota
 	Draining
 	Removed
 )
 
-// ServerEntry is one line of a server list.
+// ServerEntry is one entry of a server list.
 type ServerEntry struct {
 	Server  uint32
 	Zone    uint8
@@ -162,41 +164,41 @@
 	Cell    uint16
 	State   ServerState
 	Weight  float64
-	Started float64 // clock time of the last start; 0 = long ago
+	Started float64 // time of the last start on the balancer's clock; 0 = long ago
 }
 
-// EventKind tells which fields of an Event count.
+// EventKind is the kind of an Event and determines which of its fields are set.
 type EventKind uint8
 
-// The events a balancer handles.
+// The kinds of event, with the fields that each one sets.
 const (
-	EvRequest         EventKind = iota + 1 // Request, Class, Tenant, Key, Due, Hint
-	EvResponseStarted                      // Request, Attempt, Server, Took
-	EvOutcome                              // Request, Attempt, Server, Outcome, Took, Service, Fresh, Done
-	EvClientGone                           // Request
+	EvRequest         EventKind = iota + 1 // Request, Class, Tenant, Key, Deadline, WorkHint
+	EvResponseStarted                      // Request, Attempt, Server, Elapsed: the first byte of the response arrived
+	EvOutcome                              // Request, Attempt, Server, Outcome, Elapsed, ServiceTime, NewConnection, RequestDone
+	EvClientGone                           // Request: the client has disconnected or timed out
 	EvList                                 // List, Servers
 	EvTimer                                // Token
-	EvProbeResult                          // Server, Outcome, Took, Report, Values
-	EvConnecting                           // Request, Attempt: it waits for a new connection; not told by every host
-	EvConnected                            // Request, Attempt: its connection is up
+	EvProbeResult                          // Server, Outcome, Elapsed, LoadReport, LoadReportLen
+	EvConnecting                           // Request, Attempt: the attempt waits for a new connection; not every host reports this
+	EvConnected                            // Request, Attempt: the attempt's connection is established
 )
 
-// ListKind tells how a list event is to be read.
+// ListKind is the kind of a list event and determines how its entries are applied.
 type ListKind uint8
 
 // The kinds of list event.
 const (
-	ListFailed ListKind = iota // a call to the list failed; the old list stays
-	ListCached                 // whole, as last held; may be outdated
+	ListFailed ListKind = iota // a call for the list failed; the current list stays in use
+	ListCached                 // full list from an earlier run; may be outdated
 	ListDelta                  // changed entries only
-	ListFull                   // whole: what is absent is gone
-	ListMoved                  // the next calls go elsewhere; the old list stays
+	ListFull                   // full list: servers that it does not contain are removed
+	ListMoved                  // the next calls go to another discovery address; the current list stays in use
 )
 
-// Outcome is how an attempt ended.
+// Outcome is the way in which an attempt or a probe ended.
 type Outcome uint8
 
-// The outcomes. Rejected, ConnectFailed and NotSent prove that nothing ran.
+// The outcomes. Rejected, ConnectFailed and NotSent prove that the request did not run.
 const (
 	OK Outcome = iota
 	Error
@@ -208,12 +210,12 @@
 	NotSent
 )
 
-// Event is one thing a balancer hears. Events of one instant come one by one.
+// Event is one input of a balancer. Events that occur at the same time are passed one by one.
 type Event struct {
 	Kind          EventKind
 	List          ListKind
 	Outcome       Outcome
-	RequestDone   bool // the request has ended, by this outcome or before
+	RequestDone   bool // the request has ended, by this outcome or earlier
 	Class         uint16
 	Tenant        uint16
 	Attempt       uint16
@@ -221,18 +223,19 @@
 	Server        uint32
 	Key           uint64
 	Token         uint64
-	Deadline      float64    // the client gives this try up
-	WorkHint      float64    // expected work; 0 = none told
-	Elapsed       float64    // since the attempt or probe was sent
-	ServiceTime   float64    // of it, from the request's last byte to the answer's first; 0 = not told
+	Deadline      float64    // time at which the client gives up this call
+	WorkHint      float64    // expected work; 0 = unknown
+	Elapsed       float64    // time since the attempt or probe was sent
+	ServiceTime   float64    // part of Elapsed from the request's last byte to the response's first; 0 = not measured
 	NewConnection bool       // the attempt's connection was opened for it, which its server pays for too
 	LoadReport    [4]float32 // load report of the server
-	LoadReportLen int        // how many figures of it are told; 0 = no report
+	LoadReportLen int        // number of values in LoadReport; 0 = no report
 	Servers       []ServerEntry
 }
 
-// sanitized is the event with every figure that is negative or no number taken for 0: one such figure would
-// stay in the averages for good, or keep a call for ever. A due time of 0 has passed.
+// sanitized returns a copy of the event in which each time or hint that is negative or not a finite number is 0. A load
+// report with such a value is dropped. One invalid number would stay in the moving averages for good, or keep a
+// request open for ever. A Deadline of 0 has passed.
 func (ev *Event) sanitized() Event {
 	e := *ev
 	for _, f := range [...]*float64{&e.Deadline, &e.WorkHint, &e.Elapsed, &e.ServiceTime} {
@@ -248,7 +251,7 @@
 	return e
 }
 
-// advanceClock is the new clock time, unless that is no number or before the old one.
+// advanceClock returns the new clock time, or the old one if the new time is earlier or not a finite number.
 func advanceClock(old, now float64) float64 {
 	if now > old && !math.IsInf(now, 0) {
 		return now
@@ -256,31 +259,31 @@
 	return old
 }
 
-// ActionKind tells which fields of an Action count.
+// ActionKind is the kind of an Action and determines which of its fields are set.
 type ActionKind uint8
 
-// The actions a balancer asks for.
+// The kinds of action, with the fields that each one sets.
 const (
-	ActSend      ActionKind = iota + 1 // Request, Server, Until, Whole: start an attempt
-	ActRefuse                          // Request, After: final; trying again is harmless, best after that time
-	ActFail                            // Request: final; promises nothing
-	ActCancel                          // Request, Attempt: stop waiting for an attempt
-	ActTimer                           // After, Token
-	ActWatchList                       // subscribe to list changes; nothing to do if that is so
-	ActProbe                           // Server: ask it for a load report
-	ActLog                             // Text
-	ActCloseIdle                       // Server: close the idle connections to it
+	ActSend      ActionKind = iota + 1 // Request, Server, Deadline, LastByteBy: start an attempt
+	ActRefuse                          // Request, Delay: final answer; a retry by the client is safe, best after Delay
+	ActFail                            // Request: final answer; the request may have run
+	ActCancel                          // Request, Attempt: stop waiting for the attempt
+	ActTimer                           // Delay, Token: send EvTimer with Token after Delay
+	ActWatchList                       // subscribe to list changes; no effect if already subscribed
+	ActProbe                           // Server: request a load report
+	ActLog                             // Text: write to the log
+	ActCloseIdle                       // Server: close the idle connections to the server
 )
 
-// Action is one thing a balancer asks its host to do, in the order given.
+// Action is one instruction of a balancer to its host. The host carries actions out in the order given.
 type Action struct {
 	Kind       ActionKind
 	Attempt    uint16
 	Request    uint32
 	Server     uint32
 	Token      uint64
-	Deadline   float64 // clock time at which the attempt is given up
-	LastByteBy float64 // latest clock time for the attempt's last byte; 0 = any
+	Deadline   float64 // clock time at which the attempt times out
+	LastByteBy float64 // latest clock time for the attempt's last byte; 0 = unlimited
 	Delay      float64 // time from now
 	Text       string
 }
--- a/balancer.go
+++ b/balancer.go
@@ -58,7 +58,7 @@
 	wakeLeast       = 5.0     // shortest timer, so that waiting calls cost little CPU
 	wakeMost        = 20.0    // longest timer while calls wait
 	comeBack        = 1000.0  // a refused client is asked back then: answers have been measured anew
-	askSpread       = 0.3     // first call to the list is spread over this share of AskEvery
+	askSpread       = 0.3     // first call to the list is spread over this share of PollInterval
 )
 
 // server is what this copy knows of one server, from its list and its own calls.
@@ -138,7 +138,7 @@
 	served    float64 // part of its calls that are answered within the aim
 }
 
-// Balancer is one copy. It is not safe for concurrent use.
+// Balancer is one balancer copy of a tier. It is not safe for concurrent use.
 type Balancer struct {
 	set                 Settings
 	rng                 stats.Random
@@ -178,7 +178,7 @@
 	askRounds           float64 // length of the copies' next round of calls
 }
 
-// New returns a balancer for one copy. The seed makes its random numbers.
+// New returns a Balancer for one copy. Its random numbers are determined by the seed.
 func New(set Settings, seed uint64, now float64) (*Balancer, error) {
 	if err := set.check(); err != nil {
 		return nil, fmt.Errorf("forkline: %w", err)
@@ -220,7 +220,7 @@
 	b.carryOver(&old)
 }
 
-// Handle takes one event and appends the actions that answer it.
+// Handle processes one event and appends the resulting actions to actions.
 func (b *Balancer) Handle(now float64, ev *Event, actions []Action) []Action {
 	clean := ev.sanitized()
 	b.now, b.acts, ev = advanceClock(b.now, now), actions, &clean
@@ -251,7 +251,8 @@
 			s.asked = false
 			b.asked--
 			b.closeIdle(s)
-			if f := b.set.LoadReportField; ev.Outcome == OK && f > 0 && f <= min(ev.LoadReportLen, len(ev.LoadReport)) {
+			if f := b.set.LoadReportField; ev.Outcome == OK && f > 0 &&
+				f <= min(ev.LoadReportLen, len(ev.LoadReport)) {
 				s.held, s.heldAt = float64(ev.LoadReport[f-1]), b.now
 				b.heldMean += latencyGain * (s.held - b.heldMean)
 			}
@@ -523,7 +524,8 @@
 // linked tells whether a call finds an open connection there, as far as known.
 func (b *Balancer) linked(s *server) bool {
 	l := &b.set.Limits
-	return s.linked && s.out < max(l.StreamsPerConn, 1) && (l.ConnIdleTimeout <= 0 || b.now-s.heard < l.ConnIdleTimeout)
+	return s.linked && s.out < max(l.StreamsPerConn, 1) &&
+		(l.ConnIdleTimeout <= 0 || b.now-s.heard < l.ConnIdleTimeout)
 }
 
 // told tells whether what a server holds was heard just now.
@@ -628,7 +630,7 @@
 	b.forget(q)
 }
 
-// RetryAfter is the time told with a refusal: none where clients are not told, and no longer than they wait.
+// RetryAfter returns the retry delay that a refusal carries: 0 if none is sent, at most MaxRetryAfter.
 func (l *Limits) RetryAfter() float64 {
 	if !l.SendRetryAfter {
 		return 0
--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -1,13 +1,13 @@
-// Package deadline holds what a sidecar keeps back of its client's deadline before it hands the rest on: deadline
-// propagation through any number of tiers. It is sans-I/O and has no clock of its own.
+// Package deadline computes the margin that a sidecar subtracts from its client's deadline before it passes the rest
+// on, for deadline propagation through any number of tiers. It is sans-I/O and has no clock of its own.
 package deadline
 
 import "math"
 
 // All times are in milliseconds.
 const (
-	// MaxMargin and MostPart bound what is held back: the first, or this share of the time left, whichever is less. It is also
-	// held where too little has been measured. Answers as late as that are past a class's aim anyhow.
+	// The margin is at most MaxMargin or MaxMarginShare of the remaining time, whichever is less. This maximum also
+	// applies while too few delays have been measured. Answers this late miss the target latency of their class anyway.
 	MaxMargin      = 50.0
 	MaxMarginShare = 0.1
 
@@ -17,20 +17,20 @@
 	stale    = 60000 // what was measured longer ago says nothing about the core now
 )
 
-// Phase is a part of a request's way through a sidecar on which it may wait for the core. One that meets its deadline may
-// meet all of them, one after another.
+// Phase is a part of a request's path through a sidecar in which it may wait for a CPU core. A request that meets its
+// deadline may pass through all of them, one after another.
 type Phase int
 
 const (
-	Intake   Phase = iota // from the arrival of a request, or of an attempt's outcome, to its being taken up
-	Timer                 // by which a timer fires late
-	Response              // from the decision on an answer to its first byte
+	Intake   Phase = iota // from the arrival of a request, or of an attempt's outcome, until its processing starts
+	Timer                 // delay by which a timer fires late
+	Response              // from the decision on an answer until its first byte is written
 	parts
 )
 
-// Margin is how long before its client's deadline a sidecar has to be done with a request, by the delays that it has
-// seen of late. Of each part it keeps a decaying maximum: a quantile would need more delays than a sidecar with a few
-// calls a second has. The zero Margin has measured nothing. It is not safe for concurrent use.
+// Margin estimates from recent delays how long before its client's deadline a sidecar must finish a request. It keeps a
+// decaying maximum for each phase: a quantile would need more samples than a sidecar with a few calls per second has.
+// The zero Margin has no samples. It is not safe for concurrent use.
 type Margin struct {
 	worst [parts]float64 // delay
 	at    [parts]float64 // when that was so much
@@ -38,7 +38,7 @@
 	last  float64 // when a delay was last measured
 }
 
-// Observe notes a delay of a part. The clock may be any that runs on; delays below 0 count as none.
+// Observe records a delay of a phase. The clock may be any monotonic one. Negative delays count as 0.
 func (m *Margin) Observe(p Phase, now, delay float64) {
 	if now-m.last > stale {
 		*m = Margin{}
@@ -51,7 +51,8 @@
 	}
 }
 
-// Reserve is what to hold back of the time that is left until a deadline. It is less than that, and at least 0.
+// Reserve returns the margin to subtract from the time that is left until a deadline. It is at least 0 and never more
+// than MaxMarginShare of the time left.
 func (m *Margin) Reserve(left, now float64) float64 {
 	most := min(MaxMargin, MaxMarginShare*max(left, 0))
 	if m.seen < enough || now-m.last > stale {
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -2,69 +2,69 @@
 // each waits for its answer, when a watch counts as dead, and what a move of the service changes. It is sans-I/O:
 // a Watcher turns events into actions, and its host makes the calls and keeps the time.
 //
-// Where the list is asked for, the host says when to call (EvAsk); where it is pushed, the Watcher calls by itself from
-// EvFollow on. A call that waits is never the only hope: once overdue it counts as failed, so that another is begun
-// beside it, and the first of them to be answered is the watch.
+// Where the list is polled, the host decides when to call (EvPoll). Where it is pushed, the Watcher starts calls by itself
+// from EvStart on. A call that exceeds SoftTimeout counts as failed, so that another one is started beside it. The first
+// call that is answered becomes the watch.
 package listwatch
 
 import "time"
 
-// Policy holds the times of one way to follow a list.
+// Policy holds the timeouts of one way to watch a list.
 type Policy struct {
-	SilenceTimeout    time.Duration // a watch without a sign of life for so long is dead
-	DialTimeout       time.Duration // a connection has to be up within
-	SoftTimeout       time.Duration // an unanswered call counts as failed then, and waits on beside the next
-	CallTimeout       time.Duration // an unanswered call ends then, unless it is the oldest one out
-	OldestCallTimeout time.Duration // and the oldest ends then: where calls are handled in turn, its turn comes first
-	RetryDelay        time.Duration // pushed only: from a failure to the next call, give or take a half
+	SilenceTimeout    time.Duration // a watch without any activity for this long is dead
+	DialTimeout       time.Duration // a connection must be established within this time
+	SoftTimeout       time.Duration // an unanswered call counts as failed after this time, but continues beside the next call
+	CallTimeout       time.Duration // an unanswered call is cancelled after this time, unless it is the oldest one in flight
+	OldestCallTimeout time.Duration // the oldest call is cancelled after this time; a server that handles calls in order answers it first
+	RetryDelay        time.Duration // push only: mean delay from a failure to the next call, with a jitter of half of it either way
 }
 
-// PollPolicy is the policy where discovery is asked. A watch beats every 2 s, and what a silent one misses counts as told
-// 6 s after. A call that hangs is overdue with time left for another; sooner, calls that wait their turn would be
-// repeated, which a crowded discovery cannot bear.
+// PollPolicy is the policy for a discovery service that is polled. A watch sends a heartbeat every 2 s, and a change
+// counts as notified 6 s after a silent watch misses it. SoftTimeout leaves time for a second call after one that
+// hangs. A shorter one would repeat calls that wait in the queue of an overloaded discovery service.
 var PollPolicy = Policy{
 	SilenceTimeout: 3 * time.Second, DialTimeout: 2 * time.Second, SoftTimeout: 1700 * time.Millisecond,
 	CallTimeout: 8 * time.Second, OldestCallTimeout: 30 * time.Second,
 }
 
-// PushPolicy is the policy where an agent pushes. What the agent has counts as told at once, whether or not a watch is open:
-// it is nearby, and serves at once or not at all.
+// PushPolicy is the policy for an agent that pushes the list. A change that the agent has counts as notified at once,
+// whether or not a watch is open. The agent is nearby and answers immediately or not at all.
 var PushPolicy = Policy{
 	SilenceTimeout: 3 * time.Second, DialTimeout: 500 * time.Millisecond, SoftTimeout: 500 * time.Millisecond,
 	CallTimeout: 4 * time.Second, OldestCallTimeout: 30 * time.Second, RetryDelay: 200 * time.Millisecond,
 }
 
-// EventKind tells what a Watcher hears.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The events.
+// The kinds of event.
 const (
-	EvPoll           EventKind = iota + 1 // the list is to be watched; nothing to do if it is, where discovery is now
-	EvStart                               // the list is to be watched from now on
-	EvAnswered                            // Call: it was answered, and is a watch from now on
-	EvActivity                            // Call: a whole object or a beat came on it
-	EvCallEnded                           // Call: it failed, or its watch broke
+	EvPoll           EventKind = iota + 1 // ensure that the list is watched at the current discovery address
+	EvStart                               // keep the list watched from now on
+	EvAnswered                            // Call: the call was answered and is the current watch from now on
+	EvActivity                            // Call: a complete object or a heartbeat was received
+	EvCallEnded                           // Call: the call failed, or its watch broke
 	EvAddressChanged                      // the next calls go to another address
-	EvTick                                // time has passed
+	EvTick                                // a time returned by NextTick has come
 )
 
-// Event is one of them. Calls are numbered from 1 in the order in which they are begun.
+// Event is one input of a Watcher. Calls are numbered from 1 in the order in which they are started.
 type Event struct {
 	Kind EventKind
 	Call int
 }
 
-// ActionKind tells what a Watcher asks of its host.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The actions.
+// The kinds of action.
 const (
-	ActStartCall     ActionKind = iota + 1 // Call: begin it, where discovery is now
-	ActCancelCall                          // Call: end it, whether answered or not; its EvEnded may come or not
-	ActReportFailure                       // there is no watch, and the latest call is not to be waited for
+	ActStartCall     ActionKind = iota + 1 // Call: start it at the current discovery address
+	ActCancelCall                          // Call: cancel it, answered or not; its EvCallEnded may or may not follow
+	ActReportFailure                       // Call: there is no watch, and the latest call has failed or is overdue
 )
 
-// Action is one of them.
+// Action is one instruction of a Watcher to its host.
 type Action struct {
 	Kind ActionKind
 	Call int
@@ -76,7 +76,7 @@
 	begun  time.Duration
 }
 
-// Watcher follows one list. Times are since any fixed moment and do not run backwards.
+// Watcher keeps one list watched. Times are relative to any fixed point in time and must not decrease.
 type Watcher struct {
 	policy  Policy
 	random  func() float64 // the next number in [0, 1)
@@ -94,13 +94,13 @@
 	again   bool
 }
 
-// NewWatcher returns one that has no call out.
+// NewWatcher returns a Watcher without calls in flight.
 func NewWatcher(p Policy, random func() float64) *Watcher { return &Watcher{policy: p, random: random} }
 
-// ActiveCall is the number of the call that is listened to; 0 if there is none.
+// ActiveCall returns the number of the call that is the current watch, or 0 if there is none.
 func (w *Watcher) ActiveCall() int { return w.watch }
 
-// Handle takes one event and appends the actions that answer it.
+// Handle processes one event and appends the resulting actions to actions.
 func (w *Watcher) Handle(now time.Duration, ev Event, actions []Action) []Action {
 	w.now, w.acts = max(w.now, now), actions
 	switch ev.Kind {
@@ -133,7 +133,7 @@
 	return w.acts
 }
 
-// NextTick is when the Watcher has to hear EvTick, unless an event comes before; ok is false if it need not.
+// NextTick returns the time at which EvTick is due unless another event comes first; ok is false if none is due.
 func (w *Watcher) NextTick() (at time.Duration, ok bool) {
 	earliest := func(t time.Duration) {
 		if !ok || t < at {
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -26,14 +26,14 @@
 	maxObject  = 8 << 20     // bytes of one object of a watch
 )
 
-// List is what discovery tells: a whole list or changes.
+// List is a message of discovery: a full list or changes to it.
 type List struct {
 	Rev     int64    `json:"rev"`
 	Full    bool     `json:"all"`
 	Targets []Target `json:"targets"`
 }
 
-// Target is one line of a list.
+// Target is one entry of a list.
 type Target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -49,7 +49,7 @@
 	"Ready": forkline.Ready, "Terminating": forkline.Draining, "Gone": forkline.Removed,
 }
 
-// ParseList reads one list and checks each line of it.
+// ParseList decodes one list and validates each of its entries.
 func ParseList(text []byte) (List, error) {
 	var l List
 	if err := json.Unmarshal(text, &l); err != nil {
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -15,8 +15,8 @@
 
 var errEnded = errors.New("the sidecar has ended")
 
-// Reload puts another configuration in force: all that can change in a running process or, with an error, nothing. The
-// rest is named in the log. The list that is held stays, requests that were taken go on.
+// Reload applies a new configuration atomically, as far as a running process can change it; on an error nothing
+// changes. Keys that need a restart are named in the log. The current list and accepted requests are kept.
 func (s *Sidecar) Reload(cfg Config) error {
 	s.reloading.Lock()
 	defer s.reloading.Unlock()
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -16,18 +16,18 @@
 	"forkline/internal/wire"
 )
 
-// Config is all that a sidecar is told at its start.
+// Config is the configuration of a sidecar.
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
 	MemoryMB, Sockets       int
 	Site                    wire.Site
-	InitialList             List
+	InitialList             List      // list to use until discovery answers
 	SettingsHash            uint64    // of the settings' text, for the log
-	ReloadRequestedAt       time.Time // when a change to this was asked for, for the log
+	ReloadRequestedAt       time.Time // time of the request to load this configuration, for the log
 }
 
-// MinSockets is the smallest descriptor limit that leaves some for clients and for endpoints.
+// MinSockets is the smallest descriptor limit that leaves descriptors for both clients and endpoints.
 const MinSockets = 64
 
 // reserved descriptors are for the runtime, standard streams and the listener, some 14, for the calls to discovery that
@@ -41,7 +41,7 @@
 	exitBefore     = 0.35 // seconds before SIGKILL at which what is left is given up
 )
 
-// Sidecar is one running copy.
+// Sidecar is one sidecar process: a balancer copy with its listener and connections.
 type Sidecar struct {
 	reloading  sync.Mutex // one Reload at a time; the loop must not wait for it
 	mu         sync.Mutex
@@ -54,7 +54,7 @@
 	patience   time.Duration // see agentFirst
 }
 
-// New checks what the sidecar is told and opens its listener; requests wait there until Run.
+// New validates the configuration and opens the listener. Connections wait in its backlog until Run.
 func New(cfg Config) (*Sidecar, error) {
 	free := cfg.Sockets - reserved(cfg.Sockets)
 	s := &Sidecar{cfg: cfg, downstream: int(downstreamPart * float64(free))}
@@ -95,7 +95,7 @@
 	return d
 }
 
-// Run serves until ctx ends, then finishes what was taken.
+// Run serves until ctx ends, then finishes the accepted requests.
 func (s *Sidecar) Run(ctx context.Context) error {
 	watching, stop := context.WithCancel(context.Background()) // drains count to the end
 	defer stop()
@@ -124,8 +124,8 @@
 	return nil
 }
 
-// SetDiscoveryAddr has discovery watched at another address from now on; the list that is held stays in use. The loop must not
-// wait for discovery's mutex: a watch holds that while it waits for room in the loop's mail.
+// SetDiscoveryAddr watches discovery at another address from now on. The current list stays in use. The loop must not
+// wait for discovery's mutex, because a watch holds it while it waits for space in the loop's event queue.
 func (s *Sidecar) SetDiscoveryAddr(addr string) {
 	if s.discovery.move(addr) {
 		slog.Info("discovery moves", "addr", addr)
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-// Rate is a rate of events a second that forgets exponentially. The zero Rate has seen none.
+// Rate is an exponentially decaying rate of events. The zero Rate has counted no events.
 type Rate struct {
 	PerSecond float64 // as of the last event
-	UpdatedAt float64 // time of that
+	UpdatedAt float64 // time of the last event
 }
 
-// Add counts n events, with the time constant of forgetting in ms.
-func (r *Rate) Add(now, n, memory float64) {
-	r.PerSecond = r.PerSecond*math.Exp((r.UpdatedAt-now)/memory) + n*1000/memory
+// Add counts n events. The rate decays with the given time constant in ms.
+func (r *Rate) Add(now, n, timeConstant float64) {
+	r.PerSecond = r.PerSecond*math.Exp((r.UpdatedAt-now)/timeConstant) + n*1000/timeConstant
 	r.UpdatedAt = now
 }
 
-// Window counts events within a sliding window. It is exact: a bucket that refills would let a full one and its
-// refill through within one window. Entries that have left the window are dropped in bulk.
+// Window counts events in a sliding window. The count is exact: a token bucket would let a full bucket and its
+// refill through within one window. Events that have left the window are dropped in bulk.
 type Window struct {
 	times []float64
 	first int
@@ -29,7 +29,7 @@
 // Add counts one event.
 func (w *Window) Add(now float64) { w.times = append(w.times, now) }
 
-// CountSince counts the events from a time on, and forgets older ones.
+// CountSince returns the number of events at or after the given time and drops older ones.
 func (w *Window) CountSince(from float64) int {
 	for w.first < len(w.times) && w.times[w.first] < from {
 		w.first++
@@ -41,14 +41,15 @@
 	return len(w.times) - w.first
 }
 
-// Len is how many events are held, for tests of memory.
+// Len returns the number of events in memory, including those that have left the window. Tests use it.
 func (w *Window) Len() int { return len(w.times) }
 
-// Sample is one measured value.
+// Sample is a measured value and its time.
 type Sample struct{ At, Value float64 }
 
-// Recent appends the values of a ring that holds count samples, or the last of them: those taken since a time, and
-// older ones, but none from before the oldest time, while fewer than enough are held.
+// Recent appends the values of recent samples of a ring to values, the latest first. The ring has taken count samples
+// so far. Samples taken at or after since are always used. Older ones, down to the time oldest, are used only while
+// values has fewer than enough entries.
 func Recent(values []float64, ring []Sample, count int, since, oldest float64, enough int) []float64 {
 	for i := range min(count, len(ring)) {
 		s := ring[(count-1-i)%len(ring)]
@@ -60,29 +61,30 @@
 	return values
 }
 
-// Quantile sorts values, of which there must be one at least, and returns the least that a share of them stays under.
+// Quantile sorts values, which must not be empty, and returns the smallest one that at least the given share of them
+// do not exceed.
 func Quantile(values []float64, share float64) float64 {
 	slices.Sort(values)
 	return values[int(math.Ceil(share*float64(len(values))))-1]
 }
 
-// TokenBucket lets events through at a rate, and ahead of it by as many as it holds.
+// TokenBucket limits events to a rate and allows bursts up to its capacity.
 type TokenBucket struct {
-	Tokens, UpdatedAt float64 // held then
-	Rate, Capacity    float64 // refilled a second, and held at most
+	Tokens, UpdatedAt float64 // tokens at the time UpdatedAt
+	Rate, Capacity    float64 // tokens added per second, and the most the bucket holds
 }
 
-// NewTokenBucket returns a full bucket.
+// NewTokenBucket returns a full token bucket.
 func NewTokenBucket(now, rate, most float64) TokenBucket {
 	return TokenBucket{Tokens: most, UpdatedAt: now, Rate: rate, Capacity: most}
 }
 
-// Available is how many tokens it holds.
+// Available returns the number of tokens in the bucket at the given time.
 func (t *TokenBucket) Available(now float64) float64 {
 	return min(t.Capacity, t.Tokens+(now-t.UpdatedAt)/1000*t.Rate)
 }
 
-// Take takes a token and tells whether there was one.
+// Take removes a token and reports whether one was available.
 func (t *TokenBucket) Take(now float64) bool {
 	t.Tokens, t.UpdatedAt = t.Available(now), now
 	if t.Tokens < 1 {
@@ -92,10 +94,10 @@
 	return true
 }
 
-// Share is the share of events of one kind among all, as of late.
+// Share is an exponentially weighted average of the share of events of one kind among all events.
 type Share float64
 
-// Observe takes in one event with a weight.
+// Observe adds one event with the given weight.
 func (s *Share) Observe(is bool, weight float64) {
 	*s -= Share(weight) * *s
 	if is {
@@ -103,5 +105,5 @@
 	}
 }
 
-// Odds is how many events of the kind there are for each one of another.
+// Odds returns the ratio of events of the kind to all other events.
 func (s Share) Odds() float64 { return float64(s) / (1 - float64(s)) }
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -43,14 +43,14 @@
 	252: forkline.ConnectFailed, 251: forkline.Reset, 250: forkline.Cancelled, 249: forkline.NotSent,
 }
 
-// Host receives what a batch holds, record by record.
+// Host receives the records of a batch one by one.
 type Host interface {
 	Start(instance uint16, seed uint64, settings []byte, now float64) error
 	Stop(instance uint16)
 	Event(instance uint16, now float64, ev *forkline.Event) error
 }
 
-// Batch is one frame of events as read from the pipe.
+// Batch is one frame of events read from the input.
 type Batch struct {
 	Number uint32
 	Now    float64
@@ -66,7 +66,7 @@
 	ev    forkline.Event
 }
 
-// Read takes the next batch from r; io.EOF means a clean end of input.
+// Read reads the next batch from r. It returns io.EOF at a clean end of input.
 func (d *Decoder) Read(r io.Reader) (Batch, error) {
 	var head [batchHeader]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -104,7 +104,7 @@
 	return b, nil
 }
 
-// Deliver hands the records of a batch to the host, in order.
+// Deliver passes the records of a batch to the host in order.
 func (d *Decoder) Deliver(b Batch, host Host) error {
 	tail := b.body[b.count*eventSize:]
 	for i := 0; i < b.count; i++ {
@@ -238,7 +238,7 @@
 	return tail[from : from+length], nil
 }
 
-// Reply gathers the actions that answer one batch.
+// Reply collects the actions in response to one batch.
 type Reply struct {
 	records []byte
 	tail    []byte
@@ -290,7 +290,7 @@
 	put.PutUint16(rec, code)
 }
 
-// AddFault appends the message by which an instance declares its own failure.
+// AddFault appends the message with which an instance reports its own failure.
 func (r *Reply) AddFault(instance uint16, text string) {
 	rec := r.record(instance)
 	binary.LittleEndian.PutUint16(rec, 10)
@@ -311,7 +311,7 @@
 	r.tail = append(r.tail, text...)
 }
 
-// WriteTo sends the reply to the batch of the given number.
+// WriteTo writes the reply to the batch with the given number.
 func (r *Reply) WriteTo(w io.Writer, number uint32) error {
 	var head [replyHeader]byte
 	binary.LittleEndian.PutUint32(head[0:], number)
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -88,19 +88,19 @@
 	"cell": forkline.ScopeCell,
 }
 
-// Site is the settings object with the names that the module knows by number only.
+// Site holds the settings together with the names of the zones and kinds, which the module knows by index only.
 type Site struct {
 	Settings     forkline.Settings
 	Zones, Kinds []string
 }
 
-// ParseSettings reads the settings object that a start event carries.
+// ParseSettings decodes the settings object of a start event.
 func ParseSettings(text []byte) (forkline.Settings, error) {
 	site, err := ParseSite(text)
 	return site.Settings, err
 }
 
-// ParseSite reads the same object for a host that meets zones and kinds by name.
+// ParseSite decodes the same object for a host that refers to zones and kinds by name.
 func ParseSite(text []byte) (Site, error) {
 	var env envSettings
 	if err := json.Unmarshal(text, &env); err != nil {
--- a/ramp_test.go
+++ b/ramp_test.go
@@ -224,7 +224,7 @@
 
 // worst is the largest ratio of the calls that a cold server got in a window to those that it bears: N + 2 x
 // root of N + 2, N being so many times its even share of the day's demand, by its warmth, in the window. With
-// FallMultiple 3 a server of a tier that is asked for twice what it can do bears 1.5 shares, and 4.5 in one that is
+// OverloadMultiple 3 a server of a tier that is asked for twice what it can do bears 1.5 shares, and 4.5 in one that is
 // loaded to two thirds.
 func (f *fleet) worst(bears float64) float64 {
 	worst := 0.0
--- a/settings.go
+++ b/settings.go
@@ -10,8 +10,8 @@
 // What goes on across a change of the settings is here. Nothing is chosen: what was learned, and what is open, keeps its
 // name, and of two rules the stricter one counts. What may be sent is decided in balancer.go.
 
-// Reconfigure puts other settings in force: all of them or, with an error, none. What was learned stays. Open
-// calls keep their times, and are repeated only as far as old and new rules allow. Actions are as Handle's.
+// Reconfigure applies new settings atomically: on an error the old ones stay in force. Learned state is kept. Open
+// calls keep their deadlines and are retried only as far as both old and new rules allow. Actions are as in Handle.
 func (b *Balancer) Reconfigure(now float64, set Settings, actions []Action) ([]Action, error) {
 	if err := cmp.Or(set.check(), set.follows(&b.set)); err != nil {
 		return actions, fmt.Errorf("forkline: %w", err)
