--- a/api.go
+++ b/api.go
@@ -60,8 +60,8 @@
 	SendRetryAfter  bool    // whether refusals carry a retry delay
 	MaxRetryAfter   float64 // longest retry delay; 0 = no limit of the site
 	ConnectTimeout  float64
-	ConnIdleTimeout float64 // time after which an idle connection closes; 0 = not stated
-	StreamsPerConn  int     // concurrent attempts per connection; default 1
+	IdleTimeout     float64 // time after which an idle connection closes; 0 = not stated
+	MaxStreams      int     // concurrent attempts per connection; default 1
 }
 
 // Safety holds the parameters of the four safety rules.
@@ -89,7 +89,7 @@
 	PollList         bool    // the server list is polled, not pushed
 	ValueByWork      bool    // a request's value is proportional to its work
 	ProbeCost        float64 // cost in points of the goal of one probe per request
-	LoadReportField  int     // position in a load report, from 1, of the number of requests a server holds; 0 = not reported
+	ReportField      int     // position in a load report, from 1, of the number of requests a server holds; 0 = not reported
 	WorstClassWeight float64 // weight of the worst-served class in the goal, relative to that of the total value
 	OverQuotaValue   float64 // value of a request over its tenant's quota, as a share of its class's value
 	Classes          []Class
@@ -178,7 +178,7 @@
 	EvClientGone                           // Request: the client has disconnected or timed out
 	EvList                                 // List, Servers
 	EvTimer                                // Token
-	EvProbeResult                          // Server, Outcome, Elapsed, LoadReport, LoadReportLen
+	EvProbeResult                          // Server, Outcome, Elapsed, Report, ReportLen
 	EvConnecting                           // Request, Attempt: the attempt waits for a new connection; not every host reports this
 	EvConnected                            // Request, Attempt: the attempt's connection is established
 )
@@ -228,8 +228,8 @@
 	Elapsed       float64    // time since the attempt or probe was sent
 	ServiceTime   float64    // part of Elapsed from the request's last byte to the response's first; 0 = not measured
 	NewConnection bool       // the attempt's connection was opened for it, which its server pays for too
-	LoadReport    [4]float32 // load report of the server
-	LoadReportLen int        // number of values in LoadReport; 0 = no report
+	Report        [4]float32 // load report of the server
+	ReportLen     int        // number of values in Report that are set; 0 = no report
 	Servers       []ServerEntry
 }
 
@@ -243,9 +243,9 @@
 			*f = 0
 		}
 	}
-	for _, v := range e.LoadReport {
+	for _, v := range e.Report {
 		if !(v >= 0) || math.IsInf(float64(v), 0) {
-			e.LoadReportLen = 0
+			e.ReportLen = 0
 		}
 	}
 	return e
--- a/balancer.go
+++ b/balancer.go
@@ -212,7 +212,7 @@
 		b.meanAim += c.TargetLatency / n
 	}
 	cheap := set.ProbeCost*probeCount*float64(set.Stages) <= probePrice
-	b.probing = set.Limits.Probing && set.LoadReportField > 0 && cheap
+	b.probing = set.Limits.Probing && set.ReportField > 0 && cheap
 	for _, t := range set.Tenants {
 		rate := t.Quota / float64(set.Copies)
 		b.tenants = append(b.tenants, stats.NewTokenBucket(b.now, rate, max(rate*quotaBurst/1000, 1)))
@@ -251,9 +251,8 @@
 			s.asked = false
 			b.asked--
 			b.closeIdle(s)
-			if f := b.set.LoadReportField; ev.Outcome == OK && f > 0 &&
-				f <= min(ev.LoadReportLen, len(ev.LoadReport)) {
-				s.held, s.heldAt = float64(ev.LoadReport[f-1]), b.now
+			if f := b.set.ReportField; ev.Outcome == OK && f > 0 && f <= min(ev.ReportLen, len(ev.Report)) {
+				s.held, s.heldAt = float64(ev.Report[f-1]), b.now
 				b.heldMean += latencyGain * (s.held - b.heldMean)
 			}
 		}
@@ -290,7 +289,7 @@
 	b.classes[q.class].share += servedGain
 	b.arrivals.Add(b.now, 1, demandTime)
 	b.came++
-	b.taken.CountSince(b.now - b.set.Safety.RetryBudgetWindow)
+	b.taken.Since(b.now - b.set.Safety.RetryBudgetWindow)
 	b.taken.Add(b.now)
 	// queue_length: as many calls as were sent of late in the longest wait; unbounded with no server.
 	over := b.overQuota(q)
@@ -524,8 +523,7 @@
 // linked tells whether a call finds an open connection there, as far as known.
 func (b *Balancer) linked(s *server) bool {
 	l := &b.set.Limits
-	return s.linked && s.out < max(l.StreamsPerConn, 1) &&
-		(l.ConnIdleTimeout <= 0 || b.now-s.heard < l.ConnIdleTimeout)
+	return s.linked && s.out < max(l.MaxStreams, 1) && (l.IdleTimeout <= 0 || b.now-s.heard < l.IdleTimeout)
 }
 
 // told tells whether what a server holds was heard just now.
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -464,7 +464,7 @@
 func TestCutServerGetsTrials(t *testing.T) {
 	for class, want := range []bool{true, false, false} {
 		set := plain()
-		set.Limits.ConnIdleTimeout = 1000
+		set.Limits.IdleTimeout = 1000
 		h := start(t, set, ids(2)...)
 		s := h.b.live[0]
 		s.ejected, s.measured, s.load, s.run = true, true, 0.1, 3
@@ -803,7 +803,7 @@
 // wait for answers that do not come.
 func TestCheapProbesChooseTheServer(t *testing.T) {
 	set := plain()
-	set.Limits.Probing, set.LoadReportField, set.ProbeCost = true, 2, 0.001
+	set.Limits.Probing, set.ReportField, set.ProbeCost = true, 2, 0.001
 	h := start(t, set, ids(8)...)
 	h.b.heldMean = 10 // most servers hold more than those asked: no second question
 	probed := h.request(1, 0)
@@ -813,7 +813,7 @@
 	var acts []Action
 	for i, p := range probed {
 		held := float32(9 - i)
-		acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{5, held}, LoadReportLen: 2})
+		acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, Report: [4]float32{5, held}, ReportLen: 2})
 	}
 	if least := probed[len(probed)-1].Server; len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Server != least {
 		t.Errorf("actions %+v, want a send to server %d, which holds least", acts, least)
@@ -913,13 +913,13 @@
 // allows; it waits, asks again, and sends when one has room.
 func TestProbesHoldBackWhatWouldBeLate(t *testing.T) {
 	set := plain()
-	set.Limits.Probing, set.LoadReportField = true, 1
+	set.Limits.Probing, set.ReportField = true, 1
 	h := start(t, set, ids(8)...)
 	h.b.turn = 150    // ms for each call held, aim 500
 	h.b.heldMean = 10 // most servers hold more than those asked: no second question
 	answer := func(probes []Action, held float32) (acts []Action) {
 		for _, p := range probes {
-			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{held}, LoadReportLen: 1})
+			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, Report: [4]float32{held}, ReportLen: 1})
 		}
 		return acts
 	}
@@ -1244,14 +1244,14 @@
 // A call whose probes all tell of busy servers must ask others, a bounded number of times.
 func TestBusyAnswersAreAskedAgain(t *testing.T) {
 	set := plain()
-	set.Limits.Probing, set.LoadReportField = true, 1
+	set.Limits.Probing, set.ReportField = true, 1
 	h := start(t, set, ids(30)...)
 	h.b.heldMean = 0.5
 	acts, rounds := h.request(1, 0), 0
 	for len(acts) > 0 && acts[0].Kind == ActProbe {
 		rounds++
 		for _, p := range acts {
-			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, LoadReport: [4]float32{3}, LoadReportLen: 1})
+			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, Report: [4]float32{3}, ReportLen: 1})
 		}
 	}
 	if rounds != askMost || len(acts) != 1 || acts[0].Kind != ActSend {
@@ -1264,7 +1264,7 @@
 func TestFailingConnectsKeepToOpenConnections(t *testing.T) {
 	for _, probes := range []bool{false, true} {
 		set := plain()
-		set.Limits.Probing, set.LoadReportField, set.Limits.StreamsPerConn, set.Limits.ConnIdleTimeout = probes, 1, 100, 30000
+		set.Limits.Probing, set.ReportField, set.Limits.MaxStreams, set.Limits.IdleTimeout = probes, 1, 100, 30000
 		h := start(t, set, ids(40)...)
 		h.b.connLost = 0.5
 		for i, s := range h.b.live {
@@ -1277,7 +1277,7 @@
 			for ; len(queue) > 0; queue = queue[1:] {
 				switch a := queue[0]; a.Kind {
 				case ActProbe:
-					queue = append(queue, h.do(Event{Kind: EvProbeResult, Server: a.Server, Outcome: OK, LoadReportLen: 1})...)
+					queue = append(queue, h.do(Event{Kind: EvProbeResult, Server: a.Server, Outcome: OK, ReportLen: 1})...)
 				case ActSend:
 					if (a.Server-100)%8 != 0 {
 						astray++
@@ -1296,7 +1296,7 @@
 // Connections close when idle: a server that answered long ago has none open.
 func TestIdleConnectionsAreNotCountedOn(t *testing.T) {
 	set := plain()
-	set.Limits.ConnIdleTimeout, set.Limits.StreamsPerConn = 5000, 1
+	set.Limits.IdleTimeout, set.Limits.MaxStreams = 5000, 1
 	h := start(t, set, ids(1)...)
 	s := h.b.live[0]
 	s.linked, s.heard = true, h.b.now
@@ -1506,12 +1506,12 @@
 // A call whose further attempt is allowed must not be ended because all probed servers look busy just then.
 func TestFurtherAttemptSurvivesBusyAnswers(t *testing.T) {
 	set := plain()
-	set.Limits.Probing, set.LoadReportField = true, 1
+	set.Limits.Probing, set.ReportField = true, 1
 	h := start(t, set, ids(12)...)
 	answer := func(acts []Action, held float32) (last []Action) {
 		for _, a := range acts {
 			if a.Kind == ActProbe {
-				last = h.do(Event{Kind: EvProbeResult, Server: a.Server, Outcome: OK, LoadReportLen: 1, LoadReport: [4]float32{held}})
+				last = h.do(Event{Kind: EvProbeResult, Server: a.Server, Outcome: OK, ReportLen: 1, Report: [4]float32{held}})
 			}
 		}
 		return last
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -144,7 +144,7 @@
 		Copies: len(s.tiers), Rank: rank, Zone: int(at.zone), PollList: !f.exp.Discovery.Pushed,
 		Classes: f.classes,
 		Limits: forkline.Limits{
-			MaxAttempts: side.MaxAttempts, CancelAttempts: true, ConnIdleTimeout: ms(int64(side.ConnIdle)), StreamsPerConn: 1,
+			MaxAttempts: side.MaxAttempts, CancelAttempts: true, IdleTimeout: ms(int64(side.ConnIdle)), MaxStreams: 1,
 		},
 		Safety: forkline.Safety{
 			AnswerSlack: ms(ns(answerSlack)), DrainGrace: ms(int64(side.DrainGrace)), ColdCapacity: side.ColdFrom,
--- a/internal/probe/tier.go
+++ b/internal/probe/tier.go
@@ -42,7 +42,7 @@
 	b, err := forkline.New(forkline.Settings{
 		Copies:  copies,
 		Classes: []forkline.Class{{Name: "read", Value: 1, TargetLatency: aim, Timeout: giveUp, Effect: forkline.Safe}},
-		Limits:  forkline.Limits{MaxAttempts: 3, CancelAttempts: true, ConnIdleTimeout: 10000},
+		Limits:  forkline.Limits{MaxAttempts: 3, CancelAttempts: true, IdleTimeout: 10000},
 		Safety:  forkline.Safety{ColdCapacity: 0.3, RampTime: 8000, PollInterval: 10000},
 	}, 1, 1e6)
 	if err != nil {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -129,7 +129,7 @@
 // settings are those that the module is told.
 func (l *loop) settings(set forkline.Settings) forkline.Settings {
 	set.Limits.Probing = false // this sidecar sends none
-	set.Limits.ConnIdleTimeout = float64(idleLimit(set.Limits).Microseconds()) / 1000
+	set.Limits.IdleTimeout = float64(idleLimit(set.Limits).Microseconds()) / 1000
 	if set.Limits.MaxOpenRequests == 0 || set.Limits.MaxOpenRequests > l.up.most {
 		set.Limits.MaxOpenRequests = l.up.most // each open request may need a connection
 	}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -470,12 +470,12 @@
 		return true
 	})
 	u := pool(ln.Addr().String(), 4)
-	u.configure(forkline.Limits{ConnIdleTimeout: 3.6e6}, 0)
+	u.configure(forkline.Limits{IdleTimeout: 3.6e6}, 0)
 	if u.trust != u.idleLimit || u.idleLimit != 48*time.Minute {
 		t.Errorf("idle for %v, trusted for %v", u.idleLimit, u.trust)
 	}
 	attemptOn(u, long)
-	u.configure(forkline.Limits{ConnIdleTimeout: 10, ConnectTimeout: 77}, 1000)
+	u.configure(forkline.Limits{IdleTimeout: 10, ConnectTimeout: 77}, 1000)
 	if u.trust != 8*time.Millisecond || u.dialTimeout != 77*time.Millisecond || u.grace != 600*time.Millisecond {
 		t.Errorf("trusted for %v, dials %v, begins within %v", u.trust, u.dialTimeout, u.grace)
 	}
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -74,8 +74,8 @@
 
 // idleLimit is the time for which a connection may be idle.
 func idleLimit(l forkline.Limits) time.Duration {
-	if l.ConnIdleTimeout > 0 {
-		return millis(idlePart * l.ConnIdleTimeout)
+	if l.IdleTimeout > 0 {
+		return millis(idlePart * l.IdleTimeout)
 	}
 	return defaultIdle
 }
--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -29,8 +29,8 @@
 // Add counts one event.
 func (w *Window) Add(now float64) { w.times = append(w.times, now) }
 
-// CountSince returns the number of events at or after the given time and drops older ones.
-func (w *Window) CountSince(from float64) int {
+// Since returns the number of events at or after the given time and drops older ones.
+func (w *Window) Since(from float64) int {
 	for w.first < len(w.times) && w.times[w.first] < from {
 		w.first++
 	}
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -24,7 +24,7 @@
 	for at := range 10000 {
 		w.Add(float64(at))
 		want := min(at+1, 101)
-		if got := w.CountSince(float64(at - 100)); got != want {
+		if got := w.Since(float64(at - 100)); got != want {
 			t.Fatalf("%d events since %d, want %d", got, at-100, want)
 		}
 	}
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -159,9 +159,9 @@
 		ev.Kind, ev.Token = forkline.EvTimer, binary.LittleEndian.Uint64(rec[4:])
 	case codeHealth:
 		ev.Kind, ev.Server, ev.Elapsed = forkline.EvProbeResult, u32(rec[4:]), f64(rec[9:])
-		ev.LoadReportLen = min(int(rec[17]), len(ev.LoadReport))
-		for i := range ev.LoadReportLen {
-			ev.LoadReport[i] = math.Float32frombits(u32(rec[18+4*i:]))
+		ev.ReportLen = min(int(rec[17]), len(ev.Report))
+		for i := range ev.ReportLen {
+			ev.Report[i] = math.Float32frombits(u32(rec[18+4*i:]))
 		}
 		if err := outcome(rec[8], ev); err != nil {
 			return err
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -293,7 +293,7 @@
 	}
 	f := set.Safety
 	if f.DrainCloseTimeout != 1500 || f.RetryBudgetMin != 2 || f.RetryBudgetRatio != 0.15 || f.RetryBudgetWindow != 9000 ||
-		set.Limits.ConnIdleTimeout != 5000 || set.Limits.StreamsPerConn != 7 {
+		set.Limits.IdleTimeout != 5000 || set.Limits.MaxStreams != 7 {
 		t.Errorf("safety %+v, limits %+v", f, set.Limits)
 	}
 	for _, bad := range []string{`{`, `{"classes": 3}`, `{"classes": [{"effect": "maybe"}]}`,
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -108,21 +108,21 @@
 	}
 	l, s := env.Limits, env.Safety
 	set := forkline.Settings{
-		Copies:          env.Balancers,
-		Rank:            env.Rank,
-		Stage:           env.Stage,
-		Stages:          len(env.Stages),
-		Zone:            env.Locality,
-		PollList:        env.Membership == "on_request",
-		ValueByWork:     env.WorthBy == "work",
-		ProbeCost:       env.Prices.Probe,
-		LoadReportField: 1 + slices.Index(env.Feedback.Fields, "busy_reqs"),
-		OverQuotaValue:  orDefault(env.OverShareWorth, 1),
+		Copies:         env.Balancers,
+		Rank:           env.Rank,
+		Stage:          env.Stage,
+		Stages:         len(env.Stages),
+		Zone:           env.Locality,
+		PollList:       env.Membership == "on_request",
+		ValueByWork:    env.WorthBy == "work",
+		ProbeCost:      env.Prices.Probe,
+		ReportField:    1 + slices.Index(env.Feedback.Fields, "busy_reqs"),
+		OverQuotaValue: orDefault(env.OverShareWorth, 1),
 		Limits: forkline.Limits{
 			MaxAttempts: l.MaxAttempts, MaxOpenRequests: l.OpenCap, CancelAttempts: l.Cancel,
 			Hedging: l.SecondCopies, Probing: l.Probing, SendRetryAfter: l.RetryAfter,
 			MaxRetryAfter: l.MaxRetryAfter, ConnectTimeout: l.ConnectTimeout,
-			ConnIdleTimeout: l.ConnIdle, StreamsPerConn: l.StreamsPerConn,
+			IdleTimeout: l.ConnIdle, MaxStreams: l.StreamsPerConn,
 		},
 		Safety: forkline.Safety{
 			AnswerSlack: s.AnswerSlack, DrainGrace: s.DrainGrace, ColdCapacity: s.ColdFrom,
--- a/property_test.go
+++ b/property_test.go
@@ -66,7 +66,7 @@
 	}
 	w.used = map[uint32]float64{}
 	w.set.Limits.CancelAttempts = seed%5 > 0
-	w.set.Limits.Probing, w.set.LoadReportField = seed%6 > 2, 1
+	w.set.Limits.Probing, w.set.ReportField = seed%6 > 2, 1
 	w.set.Tenants = []Tenant{{Quota: 5}, {Quota: 50}}
 	b, err := New(w.set, seed, w.now)
 	if err != nil {
@@ -222,7 +222,7 @@
 			w.hand(Event{Kind: EvClientGone, Request: id})
 		}
 	case p < 0.945 && len(w.probes) > 0:
-		ev := Event{Kind: EvProbeResult, Server: w.probes[0], Outcome: OK, LoadReportLen: 1, LoadReport: [4]float32{w.rng.Float32() * 9}}
+		ev := Event{Kind: EvProbeResult, Server: w.probes[0], Outcome: OK, ReportLen: 1, Report: [4]float32{w.rng.Float32() * 9}}
 		w.probes = w.probes[1:]
 		if e := w.entry(ev.Server); e.State == Draining && w.set.Safety.DrainCloseTimeout > 0 {
 			w.used[ev.Server] = w.now
--- a/retry.go
+++ b/retry.go
@@ -71,8 +71,7 @@
 // lets a full one and its refill through within one window.
 func (b *Balancer) budgetLeft() float64 {
 	f := &b.set.Safety
-	taken, made := b.taken.CountSince(b.now-f.RetryBudgetWindow),
-		b.further.CountSince(b.now-f.RetryBudgetWindow)
+	taken, made := b.taken.Since(b.now-f.RetryBudgetWindow), b.further.Since(b.now-f.RetryBudgetWindow)
 	return f.RetryBudgetMin + f.RetryBudgetRatio*float64(taken) - float64(made)
 }
 
