--- a/cmd/slopes/main.go
+++ b/cmd/slopes/main.go
@@ -116,7 +116,7 @@
 // series prints a machine and its series.
 func (o *output) series(r rig.Result) error {
 	return o.print(r, func(w io.Writer) error {
-		return errors.Join(machine(w, r.Machine), slope.Markdown(w, r.Series))
+		return errors.Join(machine(w, r.Machine), slope.WriteMarkdown(w, r.Series))
 	})
 }
 
@@ -213,7 +213,7 @@
 		return err
 	}
 	return o.print(r, func(w io.Writer) error {
-		return errors.Join(machine(w, r.Machine), addedTable(w, r.Rows), slope.Markdown(w, r.Series))
+		return errors.Join(machine(w, r.Machine), addedTable(w, r.Rows), slope.WriteMarkdown(w, r.Series))
 	})
 }
 
--- a/internal/probe/probe_test.go
+++ b/internal/probe/probe_test.go
@@ -42,7 +42,7 @@
 			}
 			points = append(points, slope.Point{X: float64(n), Y: y})
 		}
-		fit, err := slope.Of(points)
+		fit, err := slope.FitPoints(points)
 		if err != nil || fit.Slope < 100 || fit.Slope > 5000 || fit.R2 < 0.9 {
 			t.Errorf("%s: %+v, %v of %v", name, fit, err, points)
 		}
--- a/internal/slope/slope_test.go
+++ b/internal/slope/slope_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// points are y = f(x) at some sizes, not in order.
+// points returns y = f(x) at several unsorted sizes.
 func points(f func(x float64) float64) []Point {
 	var out []Point
 	for _, x := range []float64{300, 10, 2800, 100, 1000} {
@@ -19,60 +19,60 @@
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-9*max(1, math.Abs(b)) }
 
-func TestALineIsFoundExactly(t *testing.T) {
-	f, err := Of(points(func(x float64) float64 { return 2 + 0.5*x }))
+func TestFitOfALineIsExact(t *testing.T) {
+	f, err := FitPoints(points(func(x float64) float64 { return 2 + 0.5*x }))
 	if err != nil || !near(f.Slope, 0.5) || !near(f.Intercept, 2) || !near(f.R2, 1) {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("fit %+v, error %v", f, err)
 	}
-	if !(f.Exponent < 1) || !(f.End > f.Exponent) || f.End > 1 {
-		t.Errorf("%+v: a constant part lowers the exponent, least at the largest sizes", f)
+	if !(f.Exponent < 1) || !(f.TailExponent > f.Exponent) || f.TailExponent > 1 {
+		t.Errorf("%+v: want the exponents in the order Exponent < TailExponent <= 1, as a constant part lowers both", f)
 	}
 }
 
-func TestExponentsOfPowerLawsAreFoundExactly(t *testing.T) {
+func TestFitOfAPowerLawIsExact(t *testing.T) {
 	for _, e := range []float64{0.5, 1, 2, 3} {
-		f, err := Of(points(func(x float64) float64 { return 3 * math.Pow(x, e) }))
-		if err != nil || !near(f.Exponent, e) || !near(f.End, e) || !near(f.LogR2, 1) || f.LogPoints != 5 {
-			t.Errorf("exponent %v: %+v, %v", e, f, err)
+		f, err := FitPoints(points(func(x float64) float64 { return 3 * math.Pow(x, e) }))
+		if err != nil || !near(f.Exponent, e) || !near(f.TailExponent, e) || !near(f.LogR2, 1) || f.LogPoints != 5 {
+			t.Errorf("exponent %v: fit %+v, error %v", e, f, err)
 		}
 	}
 }
 
-// The textbook set of Anscombe: slope 0.500, intercept 3.00, r² 0.667.
-func TestScatteredPoints(t *testing.T) {
-	f, err := Of([]Point{{10, 8.04}, {8, 6.95}, {13, 7.58}, {9, 8.81}, {11, 8.33}, {14, 9.96}, {6, 7.24}, {4, 4.26},
+// The first data set of Anscombe's quartet has slope 0.500, intercept 3.00 and r² 0.667.
+func TestFitOfScatteredPoints(t *testing.T) {
+	f, err := FitPoints([]Point{{10, 8.04}, {8, 6.95}, {13, 7.58}, {9, 8.81}, {11, 8.33}, {14, 9.96}, {6, 7.24}, {4, 4.26},
 		{12, 10.84}, {7, 4.82}, {5, 5.68}})
 	if err != nil || math.Abs(f.Slope-0.5001) > 1e-4 || math.Abs(f.Intercept-3.0001) > 1e-4 || math.Abs(f.R2-0.6665) > 1e-4 {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("fit %+v, error %v", f, err)
 	}
 }
 
-func TestConstantCostsHaveNoSlope(t *testing.T) {
-	f, err := Of(points(func(float64) float64 { return 7 }))
+func TestConstantCostHasNoSlope(t *testing.T) {
+	f, err := FitPoints(points(func(float64) float64 { return 7 }))
 	if err != nil || !near(f.Slope, 0) || !near(f.Intercept, 7) || f.R2 != 1 || !near(f.Exponent, 0) {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("fit %+v, error %v", f, err)
 	}
 }
 
-func TestNothingAndNegativesAreLeftOutOfTheExponent(t *testing.T) {
-	f, err := Of([]Point{{0, 1}, {1, 3}, {2, 6}, {3, -1}})
+func TestExponentOmitsZeroAndNegativePoints(t *testing.T) {
+	f, err := FitPoints([]Point{{0, 1}, {1, 3}, {2, 6}, {3, -1}})
 	if err != nil || f.LogPoints != 2 || !near(f.Exponent, 1) {
-		t.Errorf("%+v, %v", f, err)
+		t.Errorf("fit %+v, error %v", f, err)
 	}
-	f, err = Of([]Point{{0, 1}, {1, 3}})
+	f, err = FitPoints([]Point{{0, 1}, {1, 3}})
 	if err != nil || f.LogPoints != 0 || f.Exponent != 0 || f.Slope != 2 {
-		t.Errorf("one positive size: %+v, %v", f, err)
+		t.Errorf("one positive size: fit %+v, error %v", f, err)
 	}
 }
 
-func TestTooFewSizesAndNoNumbersAreErrors(t *testing.T) {
+func TestTooFewSizesAndNonFinitePointsAreErrors(t *testing.T) {
 	for _, few := range [][]Point{nil, {{1, 2}}, {{1, 2}, {1, 3}}} {
-		if _, err := Of(few); !errors.Is(err, ErrPoints) {
+		if _, err := FitPoints(few); !errors.Is(err, ErrTooFewSizes) {
 			t.Errorf("%v: error %v", few, err)
 		}
 	}
 	for _, bad := range []float64{math.NaN(), math.Inf(1)} {
-		if _, err := Of([]Point{{1, 2}, {2, bad}}); err == nil || !strings.Contains(err.Error(), "no number") {
+		if _, err := FitPoints([]Point{{1, 2}, {2, bad}}); err == nil || !strings.Contains(err.Error(), "not finite") {
 			t.Errorf("%v: error %v", bad, err)
 		}
 	}
@@ -90,7 +90,7 @@
 	var table strings.Builder
 	two := Series{Name: "two", X: "servers", Y: "µs", Points: s.Points[:2]}
 	zero := Series{Name: "zero", X: "servers", Y: "µs", Points: []Point{{0, 1}, {1, 3}}}
-	err = Markdown(&table, []Series{s, {Name: "none"}, two, zero})
+	err = WriteMarkdown(&table, []Series{s, {Name: "none"}, two, zero})
 	lines := strings.Split(table.String(), "\n")
 	if err != nil || len(lines) != 7 || !strings.HasPrefix(lines[2], "| call | servers | µs | 2 | 1 | 1.000 | 0.79") ||
 		!strings.HasSuffix(lines[2], "| 1: 3, 2: 5, 4: 9 |") || lines[4] != "| two | servers | µs | 2 | 1 | - | - | 0.74 | 1: 3, 2: 5 |" ||
@@ -99,7 +99,7 @@
 	}
 	for i, l := range lines[:6] {
 		if strings.Count(l, "|") != 10 {
-			t.Errorf("line %d has %d bars: %q", i, strings.Count(l, "|"), l)
+			t.Errorf("line %d has %d column separators: %q", i, strings.Count(l, "|"), l)
 		}
 	}
 }
