--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,5 +1,5 @@
-// Command knownred runs the project's tests, passing over those that KNOWN-RED.txt lists, and no others. A listed
-// test runs by itself and has to fail. The file lies in the working directory; without one every test has to pass.
+// Command knownred runs a 'go test' command and tolerates failures only of the tests that KNOWN-RED.txt lists. Each
+// listed test runs by itself and must fail. The list is read from the working directory; without it every test must pass.
 //
 //	go run ./internal/knownred go test -race ./...
 package main
@@ -20,8 +20,8 @@
 )
 
 const (
-	listName  = "KNOWN-RED.txt"
-	mostKnown = 3
+	listName   = "KNOWN-RED.txt"
+	maxEntries = 3
 )
 
 func main() {
@@ -33,36 +33,38 @@
 
 // entry is one line of the list.
 type entry struct {
-	pkg, test string // import path; name as `go test` prints it, a subtest's behind its test's and a slash
-	line      string
+	pkg, test string // import path; name as 'go test' prints it, so a subtest is "TestParent/subtest"
+	line      string // whole line, for messages
 }
 
-var entryForm = regexp.MustCompile(`^([^\s:]+?)\.((?:Test|Fuzz|Example)[\pL\d_]*(?:/\S+)?): (\S.*); issue [1-9]\d*$`)
+var entryPattern = regexp.MustCompile(`^([^\s:]+?)\.((?:Test|Fuzz|Example)[\pL\d_]*(?:/\S+)?): (\S.*); issue [1-9]\d*$`)
 
-// parse reads a list: lines of the form 'import/path.TestName: cause; issue 8'.
+// parse parses a list, whose lines have the form 'import/path.TestName: cause; issue 8'. It rejects a list with more
+// than maxEntries entries, and one that names a test twice or names both a test and one of its subtests.
 func parse(text string) ([]entry, error) {
 	var known []entry
 	for line := range strings.Lines(text) {
 		line = strings.TrimSuffix(line, "\n")
-		parts := entryForm.FindStringSubmatch(line)
+		parts := entryPattern.FindStringSubmatch(line)
 		if parts == nil {
 			return nil, fmt.Errorf("%s:%d: want 'import/path.TestName: cause; issue 8', not %q", listName, len(known)+1, line)
 		}
 		e := entry{pkg: parts[1], test: parts[2], line: line}
-		for _, o := range known {
-			if o.pkg == e.pkg && (strings.HasPrefix(o.test+"/", e.test+"/") || strings.HasPrefix(e.test+"/", o.test+"/")) {
+		for _, other := range known {
+			if other.pkg == e.pkg && (strings.HasPrefix(other.test+"/", e.test+"/") || strings.HasPrefix(e.test+"/", other.test+"/")) {
 				return nil, fmt.Errorf("%s:%d: %s.%s is listed twice", listName, len(known)+1, e.pkg, e.test)
 			}
 		}
 		known = append(known, e)
 	}
-	if len(known) > mostKnown {
-		return nil, fmt.Errorf("%s lists %d tests, at most %d may be red", listName, len(known), mostKnown)
+	if len(known) > maxEntries {
+		return nil, fmt.Errorf("%s lists %d tests, at most %d may be red", listName, len(known), maxEntries)
 	}
 	return known, nil
 }
 
-// pattern matches this test alone, as go test's -run and -skip take it: one expression for each level of subtests.
+// pattern returns the argument of go test's -run and -skip that matches only this test. It has one regular expression
+// for each level of subtests.
 func (e entry) pattern() string {
 	levels := strings.Split(e.test, "/")
 	for i, level := range levels {
@@ -71,10 +73,10 @@
 	return strings.Join(levels, "/")
 }
 
-// run carries out a command 'go test [-flag[=value]]... package...'. Listed tests run first, each by itself, then
-// their packages without them, then all other packages, so that go test's verdicts on packages are the last lines.
+// run executes the command 'go test [-flag[=value]]... package...'. Listed tests run first, each by itself, then their
+// packages without them, then all other packages, so that the output ends with go test's results for the packages.
 func run(command []string, stdout, stderr io.Writer) error {
-	flags, packages, err := split(command)
+	flags, packages, err := splitCommand(command)
 	if err != nil {
 		return err
 	}
@@ -104,7 +106,7 @@
 			continue
 		}
 		skip[e.pkg] = append(skip[e.pkg], e.pattern())
-		if err := stillFails(e, flags, stderr); err != nil {
+		if err := expectFailure(e, flags, stderr); err != nil {
 			failures = append(failures, fmt.Errorf("%w: %s", err, e.line))
 			continue
 		}
@@ -119,8 +121,9 @@
 	return errors.Join(failures...)
 }
 
-// split takes a test command apart. The choice of tests and the form of the output are this program's.
-func split(command []string) (flags, packages []string, err error) {
+// splitCommand splits a test command into its flags and packages. It rejects flags that select tests or change the
+// form of the output, as this program sets those itself.
+func splitCommand(command []string) (flags, packages []string, err error) {
 	if len(command) < 3 || command[0] != "go" || command[1] != "test" {
 		return nil, nil, fmt.Errorf("want 'go test [-flag[=value]]... package...', not %q", command)
 	}
@@ -139,7 +142,7 @@
 	return flags, packages, nil
 }
 
-// goTest runs tests and shows what go test says.
+// goTest runs 'go test' and passes its output on.
 func goTest(stdout, stderr io.Writer, flags []string, packages ...string) error {
 	cmd := exec.Command("go", slices.Concat([]string{"test"}, flags, packages)...)
 	cmd.Stdout, cmd.Stderr = stdout, stderr
@@ -149,20 +152,21 @@
 	return nil
 }
 
-// stillFails runs one listed test by itself. It is an error if that test does anything but fail.
-func stillFails(e entry, flags []string, stderr io.Writer) error {
+// expectFailure runs one listed test by itself and returns an error unless that test fails.
+func expectFailure(e entry, flags []string, stderr io.Writer) error {
 	cmd := exec.Command("go", slices.Concat([]string{"test"}, flags, []string{"-json", "-run=" + e.pattern(), e.pkg})...)
 	cmd.Stderr = stderr
-	out, failed := cmd.Output()
-	if exit := (*exec.ExitError)(nil); failed != nil && !errors.As(failed, &exit) {
-		return fmt.Errorf("go test: %w", failed)
+	out, runErr := cmd.Output()
+	if exit := (*exec.ExitError)(nil); runErr != nil && !errors.As(runErr, &exit) {
+		return fmt.Errorf("go test: %w", runErr)
 	}
-	return judge(bytes.NewReader(out), e, failed != nil)
+	return checkResult(bytes.NewReader(out), e, runErr != nil)
 }
 
-// judge reads the events of `go test -json`, which `go doc test2json` describes.
-func judge(events io.Reader, e entry, failed bool) error {
-	last := ""
+// checkResult reads the events of 'go test -json', which 'go doc test2json' describes, and returns an error unless they
+// show that the test failed. commandFailed is whether go test itself exited with an error.
+func checkResult(events io.Reader, e entry, commandFailed bool) error {
+	lastAction := ""
 	for dec := json.NewDecoder(events); ; {
 		var event struct{ Action, Test, FailedBuild string }
 		if err := dec.Decode(&event); errors.Is(err, io.EOF) {
@@ -174,18 +178,18 @@
 		case event.FailedBuild != "":
 			return errors.New("the package of a listed test does not build")
 		case event.Test == e.test && slices.Contains([]string{"run", "pass", "fail", "skip"}, event.Action):
-			last = event.Action
+			lastAction = event.Action
 		}
 	}
 	switch {
-	case last == "":
+	case lastAction == "":
 		return errors.New("a listed test does not exist, or does not run by itself")
-	case last == "pass":
+	case lastAction == "pass":
 		return errors.New("a listed test passes: take it off the list")
-	case last == "skip":
+	case lastAction == "skip":
 		return errors.New("a listed test is skipped: it has to run and fail")
-	case !failed:
+	case !commandFailed:
 		return errors.New("a listed test ended with no verdict, but go test passed")
 	}
-	return nil // it failed; or it began and did not end, as it hung or took the process with it
+	return nil // the test failed, or started and never ended because it hung or crashed the process
 }
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// scratch is a module with tests of every kind; TestRed is red in one package and green in another.
+// scratch is a module with passing, failing, panicking, hanging and skipped tests, a package that does not build and one
+// whose TestMain exits early. TestRed fails in package a and passes in package b.
 var scratch = map[string]string{
 	"go.mod":            "module scratch\n\ngo 1.26\n",
 	"a/a_test.go":       "package a\n" + imports + "func TestRed(t *testing.T) { t.Error() }\n" + red + green,
@@ -27,7 +28,8 @@
 		"t.Run(\"e\", func(*testing.T) {})\n}\n"
 )
 
-// Only what is listed may fail, and all of it has to; whatever else goes wrong is a failure.
+// Only listed tests may fail, and every listed test must fail. A listed test that passes, is skipped, is missing or does
+// not build is an error, and so is any failure outside the list.
 func TestOnlyListedTestsMayFail(t *testing.T) {
 	const (
 		redA   = "scratch/a.TestRed: cause; issue 8\n"
@@ -47,7 +49,7 @@
 	t.Chdir(dir)
 	for name, c := range map[string]struct {
 		list, packages string
-		want, out      string // the error, "" for none; what is printed
+		want, out      string // text in the error, "" for no error; pattern of the output
 	}{
 		"nothing listed, all green":  {"", "./b ./program", "", `(?s)ok  \tscratch/b\t.*no test files`},
 		"nothing listed, one red":    {"", "./a ./b", "exit status 1", `FAIL\tscratch/a`},
@@ -89,12 +91,12 @@
 	}
 }
 
-// Without a list every test has to pass, and a list that cannot be read is no empty one.
-func TestTheListMayBeMissingButNotUnreadable(t *testing.T) {
+// A missing list is treated as empty, but a list that cannot be read is an error.
+func TestListMayBeMissingButNotUnreadable(t *testing.T) {
 	t.Chdir(t.TempDir())
 	var out strings.Builder
 	if err := run([]string{"go", "test", "fmt_no_such"}, &out, &out); err == nil || strings.Contains(err.Error(), "read the list") {
-		t.Errorf("error %v, want that of go test", err)
+		t.Errorf("error %v, want the error of go test", err)
 	}
 	if err := os.Mkdir(listName, 0o755); err != nil {
 		t.Fatal(err)
@@ -104,7 +106,7 @@
 	}
 }
 
-func TestAListOfAnotherFormIsRefused(t *testing.T) {
+func TestMalformedListsAreRejected(t *testing.T) {
 	line := "p.TestA: cause; issue 8\n"
 	for _, text := range []string{
 		"p.TestA", "p.TestA: cause\n", "p.TestA: ; issue 8\n", "p.TestA: cause; issue\n", "p.TestA: cause; issue x\n",
@@ -114,7 +116,7 @@
 		line + "q.TestA: cause; issue 8\nr.TestA: cause; issue 8\ns.TestA: cause; issue 8\n",
 	} {
 		if known, err := parse(text); err == nil {
-			t.Errorf("%q is read as %v", text, known)
+			t.Errorf("%q is parsed as %v, want an error", text, known)
 		}
 	}
 	known, err := parse(line + "p.TestAB: cause; issue 8\nx.org/q.ExampleT_m: a: b; issue 7; issue 9")
