--- a/cmd/slopes/main.go
+++ b/cmd/slopes/main.go
@@ -136,7 +136,7 @@
 
 func (c *moduleCommand) Run(ctx context.Context, o *output) error {
 	observed := rig.Observe()
-	r, err := probe.Options{Servers: c.Servers, Waiting: c.Waiting, Rounds: c.Rounds, Round: c.Round}.Run(ctx)
+	r, err := probe.Options{Servers: c.Servers, Queued: c.Waiting, Rounds: c.Rounds, MinRound: c.Round}.Run(ctx)
 	if err != nil {
 		return err
 	}
