--- a/cmd/slopes/main_test.go
+++ b/cmd/slopes/main_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// The test binary is the stand-in discovery's process as well.
+// TestMain also runs the stand-in discovery, as the command starts its own binary for its process.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "stand-in" {
 		os.Exit(run(context.Background(), os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
@@ -17,25 +17,25 @@
 	os.Exit(m.Run())
 }
 
-// words runs the command and returns its exit code and what it printed.
-func words(line string) (code int, stdout, stderr string) {
-	var out, complaints bytes.Buffer
-	code = run(context.Background(), strings.Fields(line), strings.NewReader(""), &out, &complaints)
-	return code, out.String(), complaints.String()
+// runLine runs a command line and returns its exit code and what it printed.
+func runLine(line string) (code int, stdout, stderr string) {
+	var out, errOut bytes.Buffer
+	code = run(context.Background(), strings.Fields(line), strings.NewReader(""), &out, &errOut)
+	return code, out.String(), errOut.String()
 }
 
 func TestTablesAndJSON(t *testing.T) {
-	dir := t.TempDir() // the stand-in's process inherits it
+	dir := t.TempDir() // inherited by the process of the stand-in
 	t.Setenv("TMPDIR", dir)
 	for _, line := range []string{
 		"module --servers=4,8 --waiting=3,6 --rounds=1 --round=1us",
 		"discovery --for=20ms --watches=1,2 --lists=1,2",
 	} {
-		code, text, complaints := words(line)
+		code, text, stderr := runLine(line)
 		if code != exitOK || !strings.Contains(text, "| measure | size x |") || !strings.Contains(text, "cores, load") {
-			t.Errorf("%s: exit %d, %q, %q", line, code, text, complaints)
+			t.Errorf("%s: exit code %d, stdout %q, stderr %q", line, code, text, stderr)
 		}
-		code, text, _ = words(line + " --json")
+		code, text, _ = runLine(line + " --json")
 		var got struct {
 			Machine struct{ Cores int }
 			Series  []struct {
@@ -44,10 +44,10 @@
 			}
 		}
 		if err := json.Unmarshal([]byte(text), &got); err != nil || code != exitOK {
-			t.Fatalf("%s: exit %d, %v", line, code, err)
+			t.Fatalf("%s: exit code %d, error %v", line, code, err)
 		}
 		if got.Machine.Cores < 1 || len(got.Series) < 5 {
-			t.Errorf("%s: %+v", line, got)
+			t.Errorf("%s: result %+v, want the cores and at least 5 series", line, got)
 		}
 		for _, s := range got.Series {
 			if s.Fit == nil {
@@ -55,18 +55,18 @@
 			}
 		}
 	}
-	noFiles(t, dir)
+	checkNoFiles(t, dir)
 }
 
-// No run leaves a file behind, though its stand-in's process is killed.
-func noFiles(t *testing.T, dir string) {
+// checkNoFiles checks that runs leave no files behind, although they kill the process of their stand-in.
+func checkNoFiles(t *testing.T, dir string) {
 	t.Helper()
-	if left, err := os.ReadDir(dir); err != nil || len(left) > 0 {
-		t.Errorf("files left: %v, %v", left, err)
+	if files, err := os.ReadDir(dir); err != nil || len(files) > 0 {
+		t.Errorf("files left: %v, %v", files, err)
 	}
 }
 
-// Bad arguments, what cannot be measured and help have their own exit codes; complaints are one line.
+// Help, bad arguments and failed measurements have their own exit codes. Errors are one line on stderr.
 func TestExitCodes(t *testing.T) {
 	for line, want := range map[string]int{
 		"--help":                            exitOK,
@@ -82,9 +82,9 @@
 		"change --binary=/x --sidecars=301": exitFailed,
 		"module --within=1ns":               exitFailed,
 	} {
-		code, text, complaints := words(line)
-		if code != want || want != exitOK && (strings.Count(complaints, "\n") != 1 || text != "") {
-			t.Errorf("%q: exit %d, want %d; %q, %q", line, code, want, text, complaints)
+		code, stdout, stderr := runLine(line)
+		if code != want || want != exitOK && (strings.Count(stderr, "\n") != 1 || stdout != "") {
+			t.Errorf("%q: exit code %d, want %d; stdout %q, stderr %q", line, code, want, stdout, stderr)
 		}
 	}
 }
--- a/internal/rig/change.go
+++ b/internal/rig/change.go
@@ -16,177 +16,183 @@
 	"time"
 )
 
-// Change measures how soon a change of the settings is in force in many real sidecars, and what it costs, while clients
-// call through all of them: a class that was unknown is served, and a deadline that was long ends a call. Zero figures
-// take the defaults.
-type Change struct {
-	Binary    string        // the program; "" = it is built from this source tree
-	Sidecars  int           // default 20
-	Endpoints int           // default 30
-	Rate      float64       // calls a second over all sidecars, half of them safe and half unsafe; default 5 a sidecar
-	Seed      uint64        // of the calls
-	Restart   bool          // the change is made by a rolling restart, a tenth of the sidecars at a time, not by a signal
-	Wait      time.Duration // longest wait for a change to be in force; default 10 s
+// SettingsChange measures how soon a change of the settings takes effect in many real sidecars, and what it costs, while
+// clients call through all of them. The change adds a class and shortens the timeout of another one. It has taken effect
+// when a call of the new class is served and a call of the other class times out. Zero fields take the defaults.
+type SettingsChange struct {
+	Binary         string        // path of the sidecar; if empty, it is built from this source tree
+	Sidecars       int           // default 20
+	Endpoints      int           // default 30
+	Rate           float64       // calls a second over all sidecars, half of them safe and half unsafe; default 5 a sidecar
+	Seed           uint64        // seeds the schedule of the calls
+	RollingRestart bool          // apply the change by restarting a tenth of the sidecars at a time instead of by a signal
+	Timeout        time.Duration // longest wait for the change to take effect; default 10 s
 }
 
-// ChangeResult is one change. Times count from the first file that was replaced.
-type ChangeResult struct {
-	Machine   Machine `json:"machine"`
-	Sidecars  int     `json:"sidecars"`
-	Restart   bool    `json:"restart"`
-	Seed      uint64  `json:"seed"`
-	InForce   int     `json:"in_force"` // sidecars in which it was, within the wait
-	P50       float64 `json:"p50_ms"`   // until it was in force in half of those, and in the last
-	Last      float64 `json:"last_ms"`
-	CPU       float64 `json:"cpu_ms"`    // processor time that it and the looks took, for each sidecar, beyond that of calls; 0 = not measured
-	Before    Calls   `json:"before"`    // calls in the time before
-	Meanwhile Calls   `json:"meanwhile"` // and from the first file until shortly after the last sidecar
+// SettingsChangeResult is the result of one change. Times count from just before the first file is replaced.
+type SettingsChangeResult struct {
+	Machine        Machine `json:"machine"`
+	Sidecars       int     `json:"sidecars"`
+	RollingRestart bool    `json:"restart"`
+	Seed           uint64  `json:"seed"`
+	Applied        int     `json:"in_force"`  // number of sidecars in which the change took effect within Timeout
+	P50            float64 `json:"p50_ms"`    // ms until it took effect in half of those sidecars
+	Last           float64 `json:"last_ms"`   // ms until it took effect in the last of them
+	CPUPerSidecar  float64 `json:"cpu_ms"`    // ms of processor time for the change and its checks, without calls; 0 = not measured
+	Before         Calls   `json:"before"`    // calls before the change
+	During         Calls   `json:"meanwhile"` // calls from the first file until changeMargin after the change
 }
 
 const (
-	changeWork = 20 * time.Millisecond // of an endpoint: longer than the deadline that is put in force
-	changePoll = 50 * time.Millisecond // between two looks at one sidecar
-	changeTail = 2 * time.Second       // of calls after the change, and before it
+	changeServiceTime   = 20 * time.Millisecond // longer than the new, short timeout
+	changeCheckInterval = 50 * time.Millisecond // between two checks of one sidecar
+	changeMargin        = 2 * time.Second       // time of calls measured after the change; twice that before it
 )
 
-// changedSettings adds a class to settings and makes the deadline of another one short.
-func changedSettings(set map[string]any) map[string]any {
-	class := func(name string, aim, giveUp int) map[string]any {
-		return map[string]any{"name": name, "aim": aim, "giveUp": giveUp, "effect": "read_like"}
+// changedSettings adds the class "new", and the class "brief" with a short timeout, to settings.
+func changedSettings(settings map[string]any) map[string]any {
+	class := func(name string, targetLatency, timeout int) map[string]any {
+		return map[string]any{"name": name, "aim": targetLatency, "giveUp": timeout, "effect": "read_like"}
 	}
-	set["classes"] = append(set["classes"].([]any), class("new", 1000, 2500), class("brief", 1000, 10))
-	return set
+	settings["classes"] = append(settings["classes"].([]any), class("new", 1000, 2500), class("brief", 1000, 10))
+	return settings
 }
 
-// oldSettings adds the class whose deadline will be short.
-func oldSettings(set map[string]any) map[string]any {
-	set["classes"] = append(set["classes"].([]any),
+// initialSettings adds the class "brief" with a long timeout, which the change shortens.
+func initialSettings(settings map[string]any) map[string]any {
+	settings["classes"] = append(settings["classes"].([]any),
 		map[string]any{"name": "brief", "aim": 1000, "giveUp": 2500, "effect": "read_like"})
-	return set
+	return settings
 }
 
-// Run makes one change.
-func (o Change) Run(ctx context.Context) (ChangeResult, error) {
-	o.Sidecars, o.Endpoints, o.Wait = cmp.Or(o.Sidecars, 20), cmp.Or(o.Endpoints, 30), cmp.Or(o.Wait, 10*time.Second)
+// Run makes one change and measures it.
+func (o SettingsChange) Run(ctx context.Context) (SettingsChangeResult, error) {
+	o.Sidecars, o.Endpoints, o.Timeout = cmp.Or(o.Sidecars, 20), cmp.Or(o.Endpoints, 30), cmp.Or(o.Timeout, 10*time.Second)
 	o.Rate = cmp.Or(o.Rate, 5*float64(o.Sidecars))
-	r := ChangeResult{Sidecars: o.Sidecars, Restart: o.Restart, Seed: o.Seed}
-	machine := Observe()
-	b, err := newBench(ctx, o.Binary, o.Sidecars, o.Endpoints, changeWork)
+	r := SettingsChangeResult{Sidecars: o.Sidecars, RollingRestart: o.RollingRestart, Seed: o.Seed}
+	observed := ObserveMachine()
+	b, err := newTestbed(ctx, o.Binary, o.Sidecars, o.Endpoints, changeServiceTime)
 	if err != nil {
 		return r, err
 	}
 	defer b.close()
-	if err := o.each(func(i int) error { return o.start(ctx, b, i, oldSettings) }); err != nil {
+	if err := o.forEachSidecar(func(i int) error { return o.startSidecar(ctx, b, i, initialSettings) }); err != nil {
 		return r, err
 	}
 	client := &http.Client{Timeout: callTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-	if status := ask(ctx, client, b.addr(0), "new"); status != http.StatusNotFound {
-		return r, fmt.Errorf("rig: status %d of a class that is unknown", status)
+	if status := callStatus(ctx, client, b.addr(0), "new"); status != http.StatusNotFound {
+		return r, fmt.Errorf("rig: status %d for an unknown class, want 404", status)
 	}
-	if status := ask(ctx, client, b.addr(0), "brief"); status != http.StatusOK {
-		return r, fmt.Errorf("rig: status %d within a long deadline", status)
+	if status := callStatus(ctx, client, b.addr(0), "brief"); status != http.StatusOK {
+		return r, fmt.Errorf("rig: status %d for a class with a long timeout, want 200", status)
 	}
-	if err := o.calling(ctx, b, nil, func() error { return pause(ctx, warmTime) }); err != nil {
+	if err := o.withCalls(ctx, b, nil, func() error { return sleep(ctx, warmupTime) }); err != nil {
 		return r, err
 	}
-	at := make([]time.Duration, o.Sidecars)
-	var begin time.Time
-	change := func() error {
-		begin = time.Now()
-		if o.Restart {
-			if err := o.roll(ctx, b, client, begin, at); err != nil {
+	appliedAfter := make([]time.Duration, o.Sidecars)
+	var started time.Time
+	applyChange := func() error {
+		started = time.Now()
+		if o.RollingRestart {
+			if err := o.applyByRestart(ctx, b, client, started, appliedAfter); err != nil {
 				return err
 			}
-		} else if err := o.signal(ctx, b, client, begin, at); err != nil {
+		} else if err := o.applyBySignal(ctx, b, client, started, appliedAfter); err != nil {
 			return err
 		}
-		return pause(ctx, changeTail)
+		return sleep(ctx, changeMargin)
 	}
-	before, err := o.cpu(b)
+	before, err := o.totalCPU(b)
 	if err != nil {
 		return r, err
 	}
-	if err := o.calling(ctx, b, &r.Before, func() error { return pause(ctx, 2*changeTail) }); err != nil {
+	if err := o.withCalls(ctx, b, &r.Before, func() error { return sleep(ctx, 2*changeMargin) }); err != nil {
 		return r, err
 	}
-	between, err := o.cpu(b)
+	middle, err := o.totalCPU(b)
 	if err != nil {
 		return r, err
 	}
-	if err := o.calling(ctx, b, &r.Meanwhile, change); err != nil {
+	if err := o.withCalls(ctx, b, &r.During, applyChange); err != nil {
 		return r, err
 	}
-	after, err := o.cpu(b)
+	after, err := o.totalCPU(b)
 	if err != nil {
 		return r, err
 	}
-	spent := time.Since(begin).Seconds()
-	if !o.Restart { // what a process uses between its last figure and its end is not known
-		r.CPU = ((after - between) - (between-before)*spent/(2*changeTail).Seconds()) / float64(o.Sidecars)
+	seconds := time.Since(started).Seconds()
+	if !o.RollingRestart { // the usage of a process between its last reading and its end is unknown
+		r.CPUPerSidecar = ((after - middle) - (middle-before)*seconds/(2*changeMargin).Seconds()) / float64(o.Sidecars)
 	}
-	var all []float64
-	for _, d := range at {
+	var applied []float64
+	for _, d := range appliedAfter {
 		if d > 0 {
-			all = append(all, float64(d)/float64(time.Millisecond))
+			applied = append(applied, float64(d)/float64(time.Millisecond))
 		}
 	}
-	if slices.Sort(all); len(all) > 0 {
-		r.InForce, r.P50, r.Last = len(all), all[len(all)/2], all[len(all)-1]
+	if slices.Sort(applied); len(applied) > 0 {
+		r.Applied, r.P50, r.Last = len(applied), applied[len(applied)/2], applied[len(applied)-1]
 	}
-	r.Machine = machine()
+	r.Machine = observed()
 	return r, nil
 }
 
-// each does something for all sidecars, some at a time, and returns the first error.
-func (o Change) each(f func(i int) error) error {
-	errs, room := make([]error, o.Sidecars), make(chan struct{}, 16)
-	var all sync.WaitGroup
+// forEachSidecar calls f for all sidecars, 16 at a time, and returns the errors joined.
+func (o SettingsChange) forEachSidecar(f func(i int) error) error {
+	errs, slots := make([]error, o.Sidecars), make(chan struct{}, 16)
+	var running sync.WaitGroup
 	for i := range o.Sidecars {
-		all.Go(func() {
-			room <- struct{}{}
-			defer func() { <-room }()
+		running.Go(func() {
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			errs[i] = f(i)
 		})
 	}
-	all.Wait()
+	running.Wait()
 	return errors.Join(errs...)
 }
 
-// settings are those of a sidecar without the classes that the change is seen by.
-func (o Change) settings(i int) map[string]any { return settings(o.Sidecars, i, false, askEvery) }
+// settings returns the settings of sidecar i without the classes that show the change.
+func (o SettingsChange) settings(i int) map[string]any {
+	return sidecarSettings(o.Sidecars, i, false, defaultPollInterval)
+}
 
-// start starts a sidecar, or starts it again, with an edit to its settings.
-func (o Change) start(ctx context.Context, b *bench, i int, edit func(map[string]any) map[string]any) error {
-	return b.launch(ctx, fmt.Sprint("n", i), i, edit(o.settings(i)))
+// startSidecar starts or restarts sidecar i with edited settings.
+func (o SettingsChange) startSidecar(ctx context.Context, b *testbed, i int, edit func(map[string]any) map[string]any) error {
+	return b.startWithSettings(ctx, fmt.Sprint("n", i), i, edit(o.settings(i)))
 }
 
-// calling sends calls while something is done.
-func (o Change) calling(ctx context.Context, b *bench, into *Calls, do func() error) error {
-	calls, stop := context.WithCancel(ctx)
+// withCalls sends calls while run executes. The counts go to result if it is not nil, with the latency of safe calls only.
+func (o SettingsChange) withCalls(ctx context.Context, b *testbed, result *Calls, run func() error) error {
+	callCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	via := newWay(rotate(o.Seed, o.Sidecars, b.addr))
-	defer via.close()
-	unsafe := newWay(rotate(o.Seed+1, o.Sidecars, b.addr))
-	defer unsafe.close()
+	safeRoute := newRoute(randomAddr(o.Seed, o.Sidecars, b.addr))
+	defer safeRoute.close()
+	unsafeRoute := newRoute(randomAddr(o.Seed+1, o.Sidecars, b.addr))
+	defer unsafeRoute.close()
 	var clients sync.WaitGroup
-	clients.Go(func() { load(calls, o.Rate/2, time.Hour, effects["safe"], 2*o.Seed, via) }) // ends with calls
-	clients.Go(func() { load(calls, o.Rate/2, time.Hour, effects["unsafe"], 2*o.Seed+1, unsafe) })
-	err := do()
-	stop() // calls that are out then are not counted
+	// Both return when callCtx ends.
+	clients.Go(func() { sendCalls(callCtx, o.Rate/2, time.Hour, classByEffect["safe"], 2*o.Seed, safeRoute) })
+	clients.Go(func() { sendCalls(callCtx, o.Rate/2, time.Hour, classByEffect["unsafe"], 2*o.Seed+1, unsafeRoute) })
+	err := run()
+	stop() // calls still in flight are not counted
 	clients.Wait()
-	if into != nil {
-		s, u := via.result(), unsafe.result()
-		*into = Calls{Served: s.Served + u.Served, Refused: s.Refused + u.Refused, Failed: s.Failed + u.Failed,
-			Connections: s.Connections + u.Connections, Latency: s.Latency}
+	if result != nil {
+		safeCalls, unsafeCalls := safeRoute.results(), unsafeRoute.results()
+		*result = Calls{
+			Served: safeCalls.Served + unsafeCalls.Served, Refused: safeCalls.Refused + unsafeCalls.Refused,
+			Failed:      safeCalls.Failed + unsafeCalls.Failed,
+			Connections: safeCalls.Connections + unsafeCalls.Connections, Latency: safeCalls.Latency,
+		}
 	}
 	return err
 }
 
-// cpu is the processor time of all sidecars so far, in ms.
-func (o Change) cpu(b *bench) (total float64, err error) {
+// totalCPU returns the processor time of all sidecars so far, in ms.
+func (o SettingsChange) totalCPU(b *testbed) (total float64, err error) {
 	for i := range o.Sidecars {
 		b.mu.Lock()
-		p := b.programs[i]
+		p := b.processes[i]
 		b.mu.Unlock()
 		u, err := p.usage()
 		if err != nil {
@@ -197,50 +203,52 @@
 	return total, nil
 }
 
-// signal replaces the files one by one and signals each sidecar, as an operator's tool does, and notes when the change
-// is in force in each.
-func (o Change) signal(ctx context.Context, b *bench, client *http.Client, begin time.Time, at []time.Duration) error {
-	var looks sync.WaitGroup
-	defer looks.Wait()
+// applyBySignal replaces the configuration files one by one and signals each sidecar, as an operator's tool does. It
+// records in appliedAfter when the change takes effect in each.
+func (o SettingsChange) applyBySignal(ctx context.Context, b *testbed, client *http.Client, started time.Time,
+	appliedAfter []time.Duration) error {
+	var checks sync.WaitGroup
+	defer checks.Wait()
 	for i := range o.Sidecars {
-		if err := rewrite(filepath.Join(b.dir, fmt.Sprint("n", i, ".json")), changedSettings(o.settings(i))); err != nil {
+		if err := replaceSettings(filepath.Join(b.dir, fmt.Sprint("n", i, ".json")), changedSettings(o.settings(i))); err != nil {
 			return err
 		}
-		if err := b.programs[i].cmd.Process.Signal(syscall.SIGHUP); err != nil {
+		if err := b.processes[i].cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			return fmt.Errorf("rig: %w", err)
 		}
-		looks.Go(func() { at[i] = o.inForce(ctx, client, b.addr(i), begin) })
+		checks.Go(func() { appliedAfter[i] = o.waitApplied(ctx, client, b.addr(i), started) })
 	}
 	return nil
 }
 
-// inForce waits until a sidecar serves the new class and keeps to the short deadline, and tells when that was; 0 if it
-// was not in time.
-func (o Change) inForce(ctx context.Context, client *http.Client, addr string, begin time.Time) time.Duration {
-	for time.Since(begin) < o.Wait {
-		if ask(ctx, client, addr, "new") == http.StatusOK && ask(ctx, client, addr, "brief") != http.StatusOK {
-			return time.Since(begin)
+// waitApplied waits until a sidecar serves the new class and enforces the short timeout, and returns the time since
+// started. It returns 0 if that takes longer than o.Timeout.
+func (o SettingsChange) waitApplied(ctx context.Context, client *http.Client, addr string, started time.Time) time.Duration {
+	for time.Since(started) < o.Timeout {
+		if callStatus(ctx, client, addr, "new") == http.StatusOK && callStatus(ctx, client, addr, "brief") != http.StatusOK {
+			return time.Since(started)
 		}
-		if pause(ctx, changePoll) != nil {
+		if sleep(ctx, changeCheckInterval) != nil {
 			return 0
 		}
 	}
 	return 0
 }
 
-// roll restarts the sidecars with the new settings, a tenth at a time: each is told to end, and when it has ended another
-// one starts.
-func (o Change) roll(ctx context.Context, b *bench, client *http.Client, begin time.Time, at []time.Duration) error {
-	o.Wait = time.Hour // the roll takes as long as it does
+// applyByRestart restarts the sidecars with the new settings, a tenth at a time. Each gets SIGTERM, and its successor
+// starts when it has ended.
+func (o SettingsChange) applyByRestart(ctx context.Context, b *testbed, client *http.Client, started time.Time,
+	appliedAfter []time.Duration) error {
+	o.Timeout = time.Hour // a rolling restart may take longer than the timeout of a signalled change
 	for batch := range slices.Chunk(sequence(o.Sidecars), max(1, o.Sidecars/10)) {
 		errs := make([]error, len(batch))
-		var all sync.WaitGroup
+		var restarts sync.WaitGroup
 		for n, i := range batch {
-			all.Go(func() {
-				old := b.programs[i]
+			restarts.Go(func() {
+				old := b.processes[i]
 				u, err := old.usage()
 				if err == nil {
-					old.before.CPU = u.CPU
+					old.earlier.CPU = u.CPU
 					err = old.cmd.Process.Signal(syscall.SIGTERM)
 				}
 				if err != nil {
@@ -248,12 +256,12 @@
 					return
 				}
 				<-old.exited
-				if errs[n] = o.start(ctx, b, i, changedSettings); errs[n] == nil {
-					at[i] = o.inForce(ctx, client, b.addr(i), begin)
+				if errs[n] = o.startSidecar(ctx, b, i, changedSettings); errs[n] == nil {
+					appliedAfter[i] = o.waitApplied(ctx, client, b.addr(i), started)
 				}
 			})
 		}
-		all.Wait()
+		restarts.Wait()
 		if err := errors.Join(errs...); err != nil {
 			return err
 		}
@@ -261,26 +269,27 @@
 	return nil
 }
 
+// sequence returns the numbers from 0 to n-1.
 func sequence(n int) []int {
-	all := make([]int, n)
-	for i := range all {
-		all[i] = i
+	numbers := make([]int, n)
+	for i := range numbers {
+		numbers[i] = i
 	}
-	return all
+	return numbers
 }
 
-// rewrite replaces the settings in a configuration file, in one step.
-func rewrite(path string, set map[string]any) error {
+// replaceSettings replaces the settings in a configuration file atomically.
+func replaceSettings(path string, settings map[string]any) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
-	var file map[string]any
-	if err := json.Unmarshal(text, &file); err != nil {
+	var config map[string]any
+	if err := json.Unmarshal(text, &config); err != nil {
 		return fmt.Errorf("rig: %s: %w", path, err)
 	}
-	file["settings"] = set
-	if text, err = json.Marshal(file); err != nil {
+	config["settings"] = settings
+	if text, err = json.Marshal(config); err != nil {
 		return fmt.Errorf("rig: %w", err)
 	}
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
@@ -289,8 +298,8 @@
 	return os.Rename(path+".new", path)
 }
 
-// ask makes one call of a safe class and returns the status of its answer; 0 if there is none.
-func ask(ctx context.Context, client *http.Client, addr, class string) int {
+// callStatus makes one call of a safe class and returns the status of its answer, or 0 if there is none.
+func callStatus(ctx context.Context, client *http.Client, addr, class string) int {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/"+class+"/x", nil)
 	if err != nil {
 		return 0
--- a/internal/rig/change_test.go
+++ b/internal/rig/change_test.go
@@ -6,35 +6,38 @@
 	"testing"
 )
 
-// A change that is signalled, and one by a rolling restart, come into force in all sidecars; calls are counted before and
-// meanwhile, and a signal loses none.
-func TestChangesComeIntoForce(t *testing.T) {
-	program, err := binary()
+// A change takes effect in all sidecars, by a signal and by a rolling restart. Calls are counted before and during it,
+// and a change by signal loses none.
+func TestSettingsChangesTakeEffect(t *testing.T) {
+	program, err := buildBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), long)
+	ctx, cancel := context.WithTimeout(t.Context(), testTimeout)
 	defer cancel()
 	for _, restart := range []bool{false, true} {
-		r, err := Change{Binary: program, Sidecars: 2, Endpoints: 3, Rate: 40, Seed: 1, Restart: restart, Wait: long}.Run(ctx)
+		r, err := SettingsChange{
+			Binary: program, Sidecars: 2, Endpoints: 3, Rate: 40, Seed: 1, RollingRestart: restart, Timeout: testTimeout,
+		}.Run(ctx)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r.InForce != 2 || !(r.P50 > 0) || r.Last < r.P50 || r.Before.Served == 0 || r.Meanwhile.Served == 0 {
-			t.Errorf("restart %v: %+v", restart, r)
+		if r.Applied != 2 || !(r.P50 > 0) || r.Last < r.P50 || r.Before.Served == 0 || r.During.Served == 0 {
+			t.Errorf("rolling restart %v: result %+v", restart, r)
 		}
-		if lost := r.Meanwhile.Failed + r.Meanwhile.Refused; !restart && lost > 0 {
-			t.Errorf("%d calls were lost", lost)
+		if lost := r.During.Failed + r.During.Refused; !restart && lost > 0 {
+			t.Errorf("%d calls were lost during a change by signal", lost)
 		}
 	}
 }
 
-// A change in more sidecars than are started is an error, and so is a file that is not there.
-func TestChangesThatCannotBeMade(t *testing.T) {
-	if _, err := (Change{Binary: "/nowhere", Sidecars: MaxProcesses + 1}).Run(t.Context()); err == nil || !strings.Contains(err.Error(), "301 sidecars") {
+// Too many sidecars are an error, and so is a configuration file that does not exist.
+func TestImpossibleSettingsChangesAreErrors(t *testing.T) {
+	if _, err := (SettingsChange{Binary: "/nowhere", Sidecars: MaxSidecars + 1}).Run(t.Context()); err == nil ||
+		!strings.Contains(err.Error(), "301 sidecars") {
 		t.Errorf("error %v", err)
 	}
-	if err := rewrite(t.TempDir()+"/none.json", nil); err == nil || !strings.Contains(err.Error(), "none.json") {
+	if err := replaceSettings(t.TempDir()+"/none.json", nil); err == nil || !strings.Contains(err.Error(), "none.json") {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/rig/cost.go
+++ b/internal/rig/cost.go
@@ -19,53 +19,54 @@
 	"forkline/internal/slope"
 )
 
-// Sidecar measures one real sidecar process: resident memory, processor time and bytes, at rest and with calls, against
-// the length of its list, changes of the list and connections of its clients. Zero figures take the defaults.
-type Sidecar struct {
-	Binary      string        // the program; "" = it is built from this source tree
-	For         time.Duration // each figure is measured; default 5 s
-	Rate        float64       // calls a second where there are calls; default 168
-	Work        time.Duration // of an endpoint on a call; default 0
-	Lists       []int         // lengths of the list; default 10 to 2,800
-	Changes     []int         // changes a minute, at a list of 300; default 0 to 6,000
-	Connections []int         // of clients, at a list of 300; default 10 to 1,000
+// SidecarCost measures one real sidecar process, idle and with calls: its resident memory, processor time and control
+// traffic against the length of its list, the rate of list changes and the number of client connections. Zero fields
+// take the defaults.
+type SidecarCost struct {
+	Binary           string        // path of the sidecar; if empty, it is built from this source tree
+	Duration         time.Duration // time of each measurement; default 5 s
+	Rate             float64       // calls a second, where calls are sent; default 168
+	ServiceTime      time.Duration // of an endpoint for a call; default 0
+	ListLengths      []int         // lengths of the list; default 10 to 2,800
+	ChangesPerMinute []int         // with a list of 300 entries; default 0 to 6,000
+	Connections      []int         // client connections, with a list of 300 entries; default 10 to 1,000
 }
 
-// Result holds a series for each measure, and what the machine did meanwhile.
+// Result holds a series for each measure, and the load on the machine meanwhile.
 type Result struct {
 	Machine Machine        `json:"machine"`
 	Series  []slope.Series `json:"series"`
 }
 
 const (
-	cpuRest  = "ms of processor time a second"
-	cpuCall  = "ms of processor time a call"
-	resident = "MB resident"
-	listLen  = "entries of the list"
-	restList = 300 // entries, where something else is varied
+	unitCPUPerSecond  = "ms of processor time a second"
+	unitCPUPerCall    = "ms of processor time a call"
+	unitResident      = "MB resident"
+	axisListLength    = "entries of the list"
+	defaultListLength = 300 // entries, where something else varies
 )
 
-// bench is a stand-in discovery, stand-in endpoints and the sidecars between.
-type bench struct {
-	dir, binary string
-	discovery   *Discovery
-	endpoints   *Endpoints
-	askEvery    time.Duration
+// testbed is a stand-in discovery, stand-in endpoints and the sidecars between them.
+type testbed struct {
+	dir, binary  string // working directory; path of the sidecar
+	discovery    *Discovery
+	endpoints    *Endpoints
+	pollInterval time.Duration
 
-	mu       sync.Mutex
-	programs []*program // by number; nil = not started yet
-	random   *rand.Rand // seeds of the sidecars
+	mu        sync.Mutex
+	processes []*process // by sidecar number; nil before the first start
+	seeds     *rand.Rand // source of the sidecars' seeds
 }
 
-// newBench starts all but the sidecars, with a list of so many entries.
-func newBench(ctx context.Context, binary string, sidecars, entries int, work time.Duration) (b *bench, err error) {
-	if err := enough(sidecars); err != nil {
+// newTestbed starts discovery and endpoints, with a list of the given number of entries, but no sidecars yet.
+func newTestbed(ctx context.Context, binary string, sidecars, entries int, serviceTime time.Duration) (b *testbed, err error) {
+	if err := checkMemory(sidecars); err != nil {
 		return nil, err
 	}
 	if entries < 1 {
-		return nil, fmt.Errorf("rig: a list of %d entries", entries)
+		return nil, fmt.Errorf("rig: invalid list length %d; must be at least 1", entries)
 	}
-	b = &bench{askEvery: askEvery, programs: make([]*program, sidecars), random: rand.New(rand.NewPCG(1, 2))}
+	b = &testbed{pollInterval: defaultPollInterval, processes: make([]*process, sidecars), seeds: rand.New(rand.NewPCG(1, 2))}
 	defer func() {
 		if err != nil {
 			b.close()
@@ -79,7 +80,7 @@
 			return nil, err
 		}
 	}
-	if b.endpoints, err = NewEndpoints(min(entries, MaxListeners), work); err != nil {
+	if b.endpoints, err = NewEndpoints(min(entries, MaxEndpointAddrs), serviceTime); err != nil {
 		return nil, err
 	}
 	if b.discovery, err = NewDiscovery(sidecars, 0, 0); err != nil {
@@ -88,46 +89,47 @@
 	return b, b.discovery.Change(b.endpoints.Targets(entries)...)
 }
 
-// start starts the sidecar of that number and waits until it is ready. It is told the list as it is now, as a real one
-// is told the list that it had.
-func (b *bench) start(ctx context.Context, i int, asked bool) error {
+// startSidecar starts sidecar i and waits until it is ready. Its configuration contains the current list, as that of a
+// real sidecar contains the last list it knew.
+func (b *testbed) startSidecar(ctx context.Context, i int, pollList bool) error {
 	name := fmt.Sprint("n", i)
-	set := settings(len(b.programs), i, asked, b.askEvery)
-	return b.launch(ctx, name, i, set)
+	settings := sidecarSettings(len(b.processes), i, pollList, b.pollInterval)
+	return b.startWithSettings(ctx, name, i, settings)
 }
 
-// launch starts a sidecar with these settings in the place of the one before, and waits until it is ready.
-func (b *bench) launch(ctx context.Context, name string, i int, set map[string]any) error {
-	p, err := start(ctx, b.binary, b.dir, name, b.discovery.Addr(i), b.discovery.List(), b.seed(), set)
+// startWithSettings starts sidecar i with the given settings, in place of an earlier process, and waits until it is ready.
+func (b *testbed) startWithSettings(ctx context.Context, name string, i int, settings map[string]any) error {
+	p, err := startProcess(ctx, b.binary, b.dir, name, b.discovery.Addr(i), b.discovery.List(), b.nextSeed(), settings)
 	if err != nil {
 		return err
 	}
 	b.mu.Lock()
-	if old := b.programs[i]; old != nil {
-		p.before = old.before
+	if old := b.processes[i]; old != nil {
+		p.earlier = old.earlier
 	}
-	b.programs[i] = p
+	b.processes[i] = p
 	b.mu.Unlock()
-	return p.awaitReady(ctx)
+	return p.waitReady(ctx)
 }
 
-// seed is a new one for each start, as the deploy page says: sidecars with one seed would all wait for the same times.
-func (b *bench) seed() uint64 {
+// nextSeed returns a new seed for each start, as the deploy page requires: sidecars with equal seeds would all draw the
+// same delays.
+func (b *testbed) nextSeed() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.random.Uint64()
+	return b.seeds.Uint64()
 }
 
-// addr is where clients reach the sidecar of that number, or last did.
-func (b *bench) addr(i int) string {
+// addr returns the client address of sidecar i, or its last one if it has ended.
+func (b *testbed) addr(i int) string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.programs[i].addr
+	return b.processes[i].addr
 }
 
-// close ends the sidecars and then the stand-ins.
-func (b *bench) close() {
-	killAll(b.programs)
+// close kills the sidecars, stops the stand-ins and removes the working directory.
+func (b *testbed) close() {
+	killAll(b.processes)
 	if b.discovery != nil {
 		b.discovery.Close()
 	}
@@ -137,45 +139,48 @@
 	os.RemoveAll(b.dir)
 }
 
-// used is the difference that a time made.
-type used struct {
+// usageDelta is the resource usage over a period.
+type usageDelta struct {
 	seconds float64
-	cpu     float64 // ms
-	Usage           // at its end
-	control Traffic
+	cpuMs   float64 // processor time of the sidecar
+	Usage           // at the end of the period
+	control Traffic // between sidecar and discovery
 }
 
-// controlRate is the bytes a second for control, both ways.
-func (u used) controlRate() float64 { return float64(u.control.Received+u.control.Wrote) / u.seconds }
+// controlBytesPerSecond returns the rate of control traffic in both directions.
+func (u usageDelta) controlBytesPerSecond() float64 {
+	return float64(u.control.Received+u.control.Sent) / u.seconds
+}
 
-// measure lets a time pass and tells what the first sidecar used in it.
-func (b *bench) measure(ctx context.Context, run func() error) (used, error) {
-	if err := pause(ctx, settleTime); err != nil {
-		return used{}, err
+// measure executes run and returns what the first sidecar used meanwhile.
+func (b *testbed) measure(ctx context.Context, run func() error) (usageDelta, error) {
+	if err := sleep(ctx, settleDelay); err != nil {
+		return usageDelta{}, err
 	}
-	before, err := b.programs[0].usage()
+	before, err := b.processes[0].usage()
 	if err != nil {
-		return used{}, err
+		return usageDelta{}, err
 	}
-	begin, control := time.Now(), b.discovery.Traffic()
+	started, controlBefore := time.Now(), b.discovery.Traffic()
 	if err := run(); err != nil {
-		return used{}, err
+		return usageDelta{}, err
 	}
-	after, err := b.programs[0].usage()
-	return used{
-		seconds: time.Since(begin).Seconds(), cpu: milliseconds(after.CPU - before.CPU),
-		Usage: after, control: b.discovery.Traffic().minus(control),
+	after, err := b.processes[0].usage()
+	return usageDelta{
+		seconds: time.Since(started).Seconds(), cpuMs: milliseconds(after.CPU - before.CPU),
+		Usage: after, control: b.discovery.Traffic().sub(controlBefore),
 	}, err
 }
 
-// one starts a bench of one sidecar that asks for its list, and waits until it watches.
-func one(ctx context.Context, binary string, entries int, work time.Duration) (*bench, error) {
-	b, err := newBench(ctx, binary, 1, entries, work)
+// newPollingTestbed starts a testbed with one sidecar that requests its list from discovery, and waits until its watch
+// is open.
+func newPollingTestbed(ctx context.Context, binary string, entries int, serviceTime time.Duration) (*testbed, error) {
+	b, err := newTestbed(ctx, binary, 1, entries, serviceTime)
 	if err != nil {
 		return nil, err
 	}
-	if err = b.start(ctx, 0, true); err == nil {
-		err = await(ctx, startTime, func() bool { return b.discovery.Traffic().Watches > 0 })
+	if err = b.startSidecar(ctx, 0, true); err == nil {
+		err = waitUntil(ctx, startTimeout, func() bool { return b.discovery.Traffic().Watches > 0 })
 	}
 	if err != nil {
 		b.close()
@@ -184,197 +189,198 @@
 	return b, nil
 }
 
-// Run measures one thing after another; each takes For and some seconds.
-func (o Sidecar) Run(ctx context.Context) (Result, error) {
-	o.For, o.Rate = cmp.Or(o.For, 5*time.Second), cmp.Or(o.Rate, 168)
-	if len(o.Lists) == 0 {
-		o.Lists = []int{10, 100, 300, 1000, 2800}
+// Run takes the measurements one after another; each takes Duration and some seconds.
+func (o SidecarCost) Run(ctx context.Context) (Result, error) {
+	o.Duration, o.Rate = cmp.Or(o.Duration, 5*time.Second), cmp.Or(o.Rate, 168)
+	if len(o.ListLengths) == 0 {
+		o.ListLengths = []int{10, 100, 300, 1000, 2800}
 	}
-	if len(o.Changes) == 0 {
-		o.Changes = []int{0, 60, 600, 3000, 6000}
+	if len(o.ChangesPerMinute) == 0 {
+		o.ChangesPerMinute = []int{0, 60, 600, 3000, 6000}
 	}
 	if len(o.Connections) == 0 {
 		o.Connections = []int{10, 100, 300, 1000}
 	}
-	machine := Observe()
-	calls, withCalls := fmt.Sprintf("at %v calls a second: ", o.Rate), fmt.Sprintf("with %v calls a second", o.Rate)
+	observed := ObserveMachine()
+	callsPrefix, callsSuffix := fmt.Sprintf("at %v calls a second: ", o.Rate), fmt.Sprintf("with %v calls a second", o.Rate)
 	var r Result
 	const control, perSecond = "control", "bytes a second"
 	lists := []slope.Series{
-		{Name: "at rest: memory", X: listLen, Y: resident},
-		{Name: "at rest: processor", X: listLen, Y: cpuRest},
-		{Name: "at rest: " + control, X: listLen, Y: perSecond},
-		{Name: calls + "memory", X: listLen, Y: resident},
-		{Name: calls + "processor", X: listLen, Y: cpuCall},
-		{Name: calls + control, X: listLen, Y: perSecond},
-		{Name: calls + "connections opened to endpoints", X: listLen, Y: "connections a call"},
-	}
-	const changing, asking = "changes: ", "clients that ask for readiness once a second: "
+		{Name: "at rest: memory", X: axisListLength, Y: unitResident},
+		{Name: "at rest: processor", X: axisListLength, Y: unitCPUPerSecond},
+		{Name: "at rest: " + control, X: axisListLength, Y: perSecond},
+		{Name: callsPrefix + "memory", X: axisListLength, Y: unitResident},
+		{Name: callsPrefix + "processor", X: axisListLength, Y: unitCPUPerCall},
+		{Name: callsPrefix + control, X: axisListLength, Y: perSecond},
+		{Name: callsPrefix + "connections opened to endpoints", X: axisListLength, Y: "connections a call"},
+	}
+	const changesPrefix, pollsPrefix = "changes: ", "clients that ask for readiness once a second: "
 	changes := []slope.Series{
-		{Name: changing + "memory", X: "changes a minute", Y: resident},
-		{Name: changing + "processor", X: "changes a minute", Y: cpuRest},
-		{Name: changing + control, X: "changes a minute", Y: perSecond},
-		{Name: changing + "processor, " + withCalls, X: "changes a minute", Y: cpuRest},
+		{Name: changesPrefix + "memory", X: "changes a minute", Y: unitResident},
+		{Name: changesPrefix + "processor", X: "changes a minute", Y: unitCPUPerSecond},
+		{Name: changesPrefix + control, X: "changes a minute", Y: perSecond},
+		{Name: changesPrefix + "processor, " + callsSuffix, X: "changes a minute", Y: unitCPUPerSecond},
 	}
 	connections := []slope.Series{
-		{Name: asking + "memory", X: "connections", Y: resident},
-		{Name: asking + "processor", X: "connections", Y: cpuRest},
-		{Name: asking + "processor, " + withCalls, X: "connections", Y: cpuRest},
+		{Name: pollsPrefix + "memory", X: "connections", Y: unitResident},
+		{Name: pollsPrefix + "processor", X: "connections", Y: unitCPUPerSecond},
+		{Name: pollsPrefix + "processor, " + callsSuffix, X: "connections", Y: unitCPUPerSecond},
 	}
-	for _, n := range o.Lists {
-		if err := o.list(ctx, n, lists); err != nil {
+	for _, n := range o.ListLengths {
+		if err := o.measureList(ctx, n, lists); err != nil {
 			return r, err
 		}
 	}
-	for _, n := range o.Changes {
-		if err := o.changes(ctx, n, changes); err != nil {
+	for _, n := range o.ChangesPerMinute {
+		if err := o.measureChanges(ctx, n, changes); err != nil {
 			return r, err
 		}
 	}
 	for _, n := range o.Connections {
-		if err := o.connections(ctx, n, connections); err != nil {
+		if err := o.measureConnections(ctx, n, connections); err != nil {
 			return r, err
 		}
 	}
-	r.Machine, r.Series = machine(), slices.Concat(lists, changes, connections)
+	r.Machine, r.Series = observed(), slices.Concat(lists, changes, connections)
 	return r, nil
 }
 
-// list measures at rest and then with calls.
-func (o Sidecar) list(ctx context.Context, n int, to []slope.Series) error {
-	b, err := one(ctx, o.Binary, n, o.Work)
+// measureList measures a list of n entries, without calls and then with calls.
+func (o SidecarCost) measureList(ctx context.Context, n int, series []slope.Series) error {
+	b, err := newPollingTestbed(ctx, o.Binary, n, o.ServiceTime)
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	u, err := b.measure(ctx, func() error { return pause(ctx, o.For) })
+	u, err := b.measure(ctx, func() error { return sleep(ctx, o.Duration) })
 	if err != nil {
 		return err
 	}
-	to[0].Add(float64(n), mb(u.Resident))
-	to[1].Add(float64(n), u.cpu/u.seconds)
-	to[2].Add(float64(n), u.controlRate())
-	via := newWay(func() string { return b.addr(0) })
+	series[0].Add(float64(n), megabytes(u.Resident))
+	series[1].Add(float64(n), u.cpuMs/u.seconds)
+	series[2].Add(float64(n), u.controlBytesPerSecond())
+	via := newRoute(func() string { return b.addr(0) })
 	defer via.close()
-	if err := load(ctx, o.Rate, warmTime, effects["safe"], 1, via); err != nil {
+	if err := sendCalls(ctx, o.Rate, warmupTime, classByEffect["safe"], 1, via); err != nil {
 		return err
 	}
-	before, opened := via.result(), b.endpoints.connections.Load()
-	if u, err = b.measure(ctx, func() error { return load(ctx, o.Rate, o.For, effects["safe"], 2, via) }); err != nil {
+	before, openedBefore := via.results(), b.endpoints.connections.Load()
+	if u, err = b.measure(ctx, func() error { return sendCalls(ctx, o.Rate, o.Duration, classByEffect["safe"], 2, via) }); err != nil {
 		return err
 	}
-	c := via.result()
-	if c.Served-before.Served <= 0 || c.Served < c.All()/2 {
-		return fmt.Errorf("rig: a list of %d: %d served, %d refused, %d failed", n, c.Served, c.Refused, c.Failed)
+	after := via.results()
+	if after.Served-before.Served <= 0 || after.Served < after.Total()/2 {
+		return fmt.Errorf("rig: list of %d entries: %d calls served, %d refused, %d failed", n, after.Served, after.Refused, after.Failed)
 	}
-	to[3].Add(float64(n), mb(u.Resident))
-	all := float64(c.All() - before.All())
-	to[4].Add(float64(n), u.cpu/all)
-	to[5].Add(float64(n), u.controlRate())
-	to[6].Add(float64(n), float64(b.endpoints.connections.Load()-opened)/all)
+	series[3].Add(float64(n), megabytes(u.Resident))
+	calls := float64(after.Total() - before.Total())
+	series[4].Add(float64(n), u.cpuMs/calls)
+	series[5].Add(float64(n), u.controlBytesPerSecond())
+	series[6].Add(float64(n), float64(b.endpoints.connections.Load()-openedBefore)/calls)
 	return nil
 }
 
-// changes measures at rest, but for changes of one entry after another.
-func (o Sidecar) changes(ctx context.Context, perMinute int, to []slope.Series) error {
-	b, err := one(ctx, o.Binary, restList, 0)
+// measureChanges measures changes of single entries, without calls and then with calls.
+func (o SidecarCost) measureChanges(ctx context.Context, perMinute int, series []slope.Series) error {
+	b, err := newPollingTestbed(ctx, o.Binary, defaultListLength, 0)
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	targets := b.endpoints.Targets(restList)
-	u, err := b.measure(ctx, func() error { return makeChanges(ctx, b.discovery, targets, perMinute, o.For) })
+	targets := b.endpoints.Targets(defaultListLength)
+	u, err := b.measure(ctx, func() error { return makeChanges(ctx, b.discovery, targets, perMinute, o.Duration) })
 	if err != nil {
 		return err
 	}
-	to[0].Add(float64(perMinute), mb(u.Resident))
-	to[1].Add(float64(perMinute), u.cpu/u.seconds)
-	to[2].Add(float64(perMinute), u.controlRate())
-	u, err = o.called(ctx, b, func() error { return makeChanges(ctx, b.discovery, targets, perMinute, o.For) })
-	to[3].Add(float64(perMinute), u.cpu/max(u.seconds, 1e-9))
+	series[0].Add(float64(perMinute), megabytes(u.Resident))
+	series[1].Add(float64(perMinute), u.cpuMs/u.seconds)
+	series[2].Add(float64(perMinute), u.controlBytesPerSecond())
+	u, err = o.measureWithCalls(ctx, b, func() error { return makeChanges(ctx, b.discovery, targets, perMinute, o.Duration) })
+	series[3].Add(float64(perMinute), u.cpuMs/max(u.seconds, 1e-9))
 	return err
 }
 
-// called measures as measure does, while calls come at their rate, after some that are not measured.
-func (o Sidecar) called(ctx context.Context, b *bench, run func() error) (used, error) {
-	via := newWay(func() string { return b.addr(0) })
+// measureWithCalls measures run as measure does, while calls are sent at o.Rate, after warm-up calls.
+func (o SidecarCost) measureWithCalls(ctx context.Context, b *testbed, run func() error) (usageDelta, error) {
+	via := newRoute(func() string { return b.addr(0) })
 	defer via.close()
-	if err := load(ctx, o.Rate, warmTime, effects["safe"], 1, via); err != nil {
-		return used{}, err
+	if err := sendCalls(ctx, o.Rate, warmupTime, classByEffect["safe"], 1, via); err != nil {
+		return usageDelta{}, err
 	}
-	var loaded error
+	var loadErr error
 	u, err := b.measure(ctx, func() error {
 		var calls sync.WaitGroup
 		defer calls.Wait()
-		calls.Go(func() { loaded = load(ctx, o.Rate, o.For, effects["safe"], 2, via) })
+		calls.Go(func() { loadErr = sendCalls(ctx, o.Rate, o.Duration, classByEffect["safe"], 2, via) })
 		return run()
 	})
-	if c := via.result(); err == nil && loaded == nil && c.Served < c.All()/2 {
-		err = fmt.Errorf("rig: %d served, %d refused, %d failed", c.Served, c.Refused, c.Failed)
+	if c := via.results(); err == nil && loadErr == nil && c.Served < c.Total()/2 {
+		err = fmt.Errorf("rig: %d calls served, %d refused, %d failed", c.Served, c.Refused, c.Failed)
 	}
-	return u, cmp.Or(err, loaded)
+	return u, cmp.Or(err, loadErr)
 }
 
-// makeChanges makes changes evenly: in turn an entry drains and is ready again.
-func makeChanges(ctx context.Context, d *Discovery, targets []sidecar.Target, perMinute int, span time.Duration) error {
+// makeChanges spreads changes evenly over the duration. Each entry in turn drains and becomes ready again.
+func makeChanges(ctx context.Context, d *Discovery, targets []sidecar.Target, perMinute int, duration time.Duration) error {
 	if perMinute < 0 || perMinute > 60000 {
-		return fmt.Errorf("rig: %d changes a minute", perMinute)
+		return fmt.Errorf("rig: %d changes a minute; must be from 0 to 60000", perMinute)
 	}
-	begin, all := time.Now(), int(float64(perMinute)*span.Minutes())
-	for i := range all {
-		if err := pause(ctx, time.Until(begin.Add(time.Duration(float64(i)/float64(all)*float64(span))))); err != nil {
+	started, changes := time.Now(), int(float64(perMinute)*duration.Minutes())
+	for i := range changes {
+		if err := sleep(ctx, time.Until(started.Add(time.Duration(float64(i)/float64(changes)*float64(duration))))); err != nil {
 			return err
 		}
-		if err := d.Change(changed(targets[i/2%len(targets)], i)); err != nil {
+		if err := d.Change(toggleDrain(targets[i/2%len(targets)], i)); err != nil {
 			return err
 		}
 	}
-	return pause(ctx, time.Until(begin.Add(span)))
+	return sleep(ctx, time.Until(started.Add(duration)))
 }
 
-func changed(t sidecar.Target, i int) sidecar.Target {
+// toggleDrain returns t, which is ready, as draining for an even i and unchanged for an odd i.
+func toggleDrain(t sidecar.Target, i int) sidecar.Target {
 	if i%2 == 0 {
 		t.State = "Terminating"
 	}
 	return t
 }
 
-// connections measures with so many clients that send nothing but a look at the readiness, once a second each.
-func (o Sidecar) connections(ctx context.Context, n int, to []slope.Series) error {
-	if n < 1 || n > sockets/2 {
-		return fmt.Errorf("rig: %d connections of clients; 1 to %d are opened", n, sockets/2)
+// measureConnections measures n clients that each poll the readiness path once a second, without calls and then with calls.
+func (o SidecarCost) measureConnections(ctx context.Context, n int, series []slope.Series) error {
+	if n < 1 || n > socketLimit/2 {
+		return fmt.Errorf("rig: %d client connections; the number must be from 1 to %d", n, socketLimit/2)
 	}
-	b, err := one(ctx, o.Binary, restList, 0)
+	b, err := newPollingTestbed(ctx, o.Binary, defaultListLength, 0)
 	if err != nil {
 		return err
 	}
 	defer b.close()
-	polls, stop := context.WithCancel(ctx)
+	pollCtx, stop := context.WithCancel(ctx)
 	var clients sync.WaitGroup
 	defer clients.Wait()
 	defer stop()
 	failed := make(chan error, n)
-	first := make(chan struct{}, n)
+	ready := make(chan struct{}, n)
 	for i := range n {
 		clients.Go(func() {
-			if err := pause(polls, time.Duration(i)*time.Second/time.Duration(n)); err != nil {
+			if err := sleep(pollCtx, time.Duration(i)*time.Second/time.Duration(n)); err != nil {
 				return
 			}
-			if err := poll(polls, b.addr(0), first); err != nil && polls.Err() == nil {
+			if err := pollReadiness(pollCtx, b.addr(0), ready); err != nil && pollCtx.Err() == nil {
 				failed <- err
 			}
 		})
 	}
 	for range n {
 		select {
-		case <-first:
+		case <-ready:
 		case err := <-failed:
 			return fmt.Errorf("rig: %d connections: %w", n, err)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 	}
-	u, err := b.measure(ctx, func() error { return pause(ctx, o.For) })
+	u, err := b.measure(ctx, func() error { return sleep(ctx, o.Duration) })
 	if err != nil {
 		return err
 	}
@@ -383,27 +389,27 @@
 		return fmt.Errorf("rig: %d connections: %w", n, err)
 	default:
 	}
-	to[0].Add(float64(n), mb(u.Resident))
-	to[1].Add(float64(n), u.cpu/u.seconds)
-	u, err = o.called(ctx, b, func() error { return pause(ctx, o.For) })
-	to[2].Add(float64(n), u.cpu/max(u.seconds, 1e-9))
+	series[0].Add(float64(n), megabytes(u.Resident))
+	series[1].Add(float64(n), u.cpuMs/u.seconds)
+	u, err = o.measureWithCalls(ctx, b, func() error { return sleep(ctx, o.Duration) })
+	series[2].Add(float64(n), u.cpuMs/max(u.seconds, 1e-9))
 	select {
-	case lost := <-failed:
-		return fmt.Errorf("rig: %d connections: %w", n, lost)
+	case pollErr := <-failed:
+		return fmt.Errorf("rig: %d connections: %w", n, pollErr)
 	default:
 		return err
 	}
 }
 
-// poll keeps one connection to a sidecar in use until ctx ends; first is told of the first answer.
-func poll(ctx context.Context, addr string, first chan<- struct{}) error {
-	c, err := (&net.Dialer{Timeout: dialClient}).DialContext(ctx, "tcp", addr)
+// pollReadiness polls the readiness path over one connection until ctx ends. It sends to ready after the first answer.
+func pollReadiness(ctx context.Context, addr string, ready chan<- struct{}) error {
+	c, err := (&net.Dialer{Timeout: clientDialTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return err
 	}
 	defer c.Close()
 	r := bufio.NewReader(c)
-	for tell := first; ; tell = nil {
+	for notify := ready; ; notify = nil {
 		c.SetDeadline(time.Now().Add(callTimeout))
 		if _, err := io.WriteString(c, "GET /-/ready HTTP/1.1\r\nHost: backend.local\r\n\r\n"); err != nil {
 			return err
@@ -418,15 +424,17 @@
 		if res.StatusCode != http.StatusOK || res.Close {
 			return errors.New("ready: " + res.Status)
 		}
-		if tell != nil {
-			tell <- struct{}{}
+		if notify != nil {
+			notify <- struct{}{}
 		}
-		if err := pause(ctx, time.Second); err != nil {
-			return nil // it is over
+		if err := sleep(ctx, time.Second); err != nil {
+			return nil // ctx has ended, which is no failure
 		}
 	}
 }
 
+// milliseconds returns d in ms.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-func mb(bytes int64) float64 { return float64(bytes) / (1 << 20) }
+// megabytes returns a number of bytes in units of 2^20.
+func megabytes(bytes int64) float64 { return float64(bytes) / (1 << 20) }
--- a/internal/rig/discovery.go
+++ b/internal/rig/discovery.go
@@ -19,79 +19,79 @@
 )
 
 const (
-	beat        = 2 * time.Second // between empty lines of a watch, as the protocol says
-	logMost     = 1 << 14         // changes that are kept; who is further behind gets the whole list
-	writeTime   = 5 * time.Second // for one object to one watch
-	listenAgain = 5 * time.Second // for the old ports after an outage
+	defaultHeartbeat = 2 * time.Second // between empty lines of an idle watch, as the protocol requires
+	maxChanges       = 1 << 14         // changes kept; a watch from an older version gets the full list
+	writeTimeout     = 5 * time.Second // for one update to one watch
+	relistenTimeout  = 5 * time.Second // longest wait for the old ports to be free after an outage
 )
 
-// Outage is how a discovery is away.
+// Outage is the way in which discovery is unavailable.
 type Outage string
 
-// The ways to be away.
+// The outages, by what clients see.
 const (
-	Refused  Outage = "refused" // nothing listens; open connections are closed
-	Refusing Outage = "503"     // calls get 503; watches end
-	Silent   Outage = "silent"  // calls are taken and get no answer; watches stay open and say nothing
+	ConnRefused Outage = "refused" // nothing listens; open watches are broken off
+	Unavailable Outage = "503"     // calls get status 503; open watches are broken off
+	Silent      Outage = "silent"  // calls are accepted and never answered; watches stay open without data
 )
 
-// Discovery is a stand-in for the service that tells the list of endpoints: `/api/targets`, whole or followed. It
-// handles calls in turn, and has a listener for each sidecar, so that it can tell them apart.
+// Discovery is a stand-in for the service that publishes the list of endpoints. It serves `/api/targets`, as a full list
+// or as a watch. It handles one call at a time, and has a listener for each sidecar to tell their traffic apart.
 type Discovery struct {
-	callTime, maxWait time.Duration
-	beat              time.Duration // between empty lines of a watch
-	turn              chan struct{} // holds the one call that is handled
+	callTime, maxWait time.Duration // time for a call, and its longest wait for the turn
+	heartbeat         time.Duration // time between empty lines of a watch
+	turn              chan struct{} // semaphore: full while a call is handled
 	server            *http.Server
 	ctx               context.Context
-	stop              context.CancelFunc
-
-	mu      sync.Mutex
-	away    Outage   // "" = it is there
-	outages []Outage // all that there were
-	rev     int64
-	order   []string // uids, as first told
-	targets map[string]sidecar.Target
-	changes []change      // the newest last
-	changed chan struct{} // closed at the next change or outage
-	ports   []*port
-	began   time.Time // the mark
-	seconds []int     // calls in each second since then
-}
-
-// change is one version: the entries that it changed, as they are written.
+	cancel            context.CancelFunc
+
+	mu            sync.Mutex
+	outage        Outage   // current outage; empty if there is none
+	outages       []Outage // all outages so far, with the current one
+	rev           int64    // version of the list
+	uids          []string // keys of targets, in order of their first appearance
+	targets       map[string]sidecar.Target
+	changes       []change      // latest versions, newest last
+	changed       chan struct{} // closed at the next change, or when an outage begins or ends
+	ports         []*port       // one for each sidecar
+	markedAt      time.Time     // last call of resetCounts
+	callsBySecond []int         // number of calls in each second since markedAt
+}
+
+// change is the update from the version before rev.
 type change struct {
-	rev    int64
-	object []byte
+	rev  int64
+	line []byte // JSON of the changed entries with a newline, as sent to watches
 }
 
-// port is the listener for one sidecar and what came through it.
+// port is the listener for one sidecar, with its traffic.
 type port struct {
-	addr            string
-	listener        net.Listener
-	received, wrote atomic.Int64 // bytes
-	calls, refused  atomic.Int64
-	watches         atomic.Int64 // open
-	answered        time.Time    // first time that a call was answered since the mark; guarded by Discovery.mu
+	addr           string
+	listener       net.Listener
+	received, sent atomic.Int64 // bytes
+	calls, refused atomic.Int64
+	watches        atomic.Int64 // open watches
+	firstAnswer    time.Time    // first answer since markedAt; guarded by Discovery.mu
 }
 
-// NewDiscovery makes a discovery with so many listeners on loopback. A call takes callTime of its one turn, and gets 503
-// if it had to wait for longer than maxWait (0 = for ever). Close ends it.
+// NewDiscovery starts a discovery with the given number of listeners on loopback. Handling a call takes callTime. A call
+// that waits longer than maxWait for its turn gets status 503; with 0 it may wait forever. Close stops the discovery.
 func NewDiscovery(listeners int, callTime, maxWait time.Duration) (*Discovery, error) {
 	d := &Discovery{
-		callTime: callTime, maxWait: maxWait, beat: beat, turn: make(chan struct{}, 1),
-		targets: map[string]sidecar.Target{}, changed: make(chan struct{}), began: time.Now(),
+		callTime: callTime, maxWait: maxWait, heartbeat: defaultHeartbeat, turn: make(chan struct{}, 1),
+		targets: map[string]sidecar.Target{}, changed: make(chan struct{}), markedAt: time.Now(),
 	}
-	d.ctx, d.stop = context.WithCancel(context.Background())
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.server = &http.Server{
 		Handler: http.HandlerFunc(d.handle), ReadHeaderTimeout: 5 * time.Second,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
-			return context.WithValue(ctx, portKey{}, c.(*counted).port)
+			return context.WithValue(ctx, portKey{}, c.(*countedConn).port)
 		},
-		ErrorLog: log.New(io.Discard, "", 0), // connections that break are part of the play
+		ErrorLog: log.New(io.Discard, "", 0), // broken connections are expected
 	}
 	for range listeners {
 		p := &port{}
-		if err := d.listen(p, host); err != nil {
+		if err := d.listen(p, listenAddr); err != nil {
 			d.Close()
 			return nil, err
 		}
@@ -100,32 +100,33 @@
 	return d, nil
 }
 
+// portKey is the context key of the port that a call came through.
 type portKey struct{}
 
-// listen opens a port and serves it.
+// listen starts to listen on addr for a port and serves its calls.
 func (d *Discovery) listen(p *port, addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
 	p.listener = ln
-	if p.addr == "" { // at an outage's end it is the same, and may be read meanwhile
+	if p.addr == "" { // after an outage addr is unchanged, and others may be reading it
 		p.addr = ln.Addr().String()
 	}
-	go d.server.Serve(&countedListener{ln, p}) // ends with its listener
+	go d.server.Serve(&countedListener{ln, p}) // returns when its listener is closed
 	return nil
 }
 
-// Addr is where the sidecar of that number asks.
+// Addr returns the address for a sidecar, by its number.
 func (d *Discovery) Addr(sidecar int) string { return d.ports[sidecar].addr }
 
-// Close ends all calls and watches.
+// Close stops the discovery and ends all calls and watches.
 func (d *Discovery) Close() {
-	d.stop()
+	d.cancel()
 	d.server.Close()
 }
 
-// Change makes one version of some entries. What is Gone is told once.
+// Change publishes changed entries as one new version. An entry whose state is Gone appears only in this update.
 func (d *Discovery) Change(entries ...sidecar.Target) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -136,35 +137,35 @@
 	}
 	for _, e := range entries {
 		if _, ok := d.targets[e.UID]; !ok {
-			d.order = append(d.order, e.UID)
+			d.uids = append(d.uids, e.UID)
 		}
 		d.targets[e.UID] = e
 	}
-	if len(d.changes) == logMost {
-		d.changes = append(d.changes[:0], d.changes[logMost/2:]...)
+	if len(d.changes) == maxChanges {
+		d.changes = append(d.changes[:0], d.changes[maxChanges/2:]...)
 	}
 	d.changes = append(d.changes, change{d.rev, append(text, '\n')})
-	d.signal()
+	d.notifyWatches()
 	return nil
 }
 
-// signal wakes all watches; the mutex is held.
-func (d *Discovery) signal() {
+// notifyWatches wakes all watches. The caller holds d.mu.
+func (d *Discovery) notifyWatches() {
 	close(d.changed)
 	d.changed = make(chan struct{})
 }
 
-// List is the whole list now.
+// List returns the current full list.
 func (d *Discovery) List() sidecar.List {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.list()
+	return d.fullList()
 }
 
-// list is the whole list; the mutex is held.
-func (d *Discovery) list() sidecar.List {
+// fullList returns the current full list. The caller holds d.mu.
+func (d *Discovery) fullList() sidecar.List {
 	l := sidecar.List{Rev: d.rev, Full: true, Targets: []sidecar.Target{}}
-	for _, uid := range d.order {
+	for _, uid := range d.uids {
 		if t := d.targets[uid]; t.State != "Gone" {
 			l.Targets = append(l.Targets, t)
 		}
@@ -172,22 +173,23 @@
 	return l
 }
 
-// whole is the same as it is written.
-func (d *Discovery) whole() []byte {
-	text, _ := json.Marshal(d.list()) // of strings and numbers that were marshalled before
+// encodeFullList returns the full list as it is sent. The caller holds d.mu.
+func (d *Discovery) encodeFullList() []byte {
+	text, _ := json.Marshal(d.fullList()) // cannot fail: Change has marshalled these entries before
 	return append(text, '\n')
 }
 
-// since is what a call that has a version gets first, the channel that closes when there is more, and the version then.
-func (d *Discovery) since(rev int64) ([]byte, chan struct{}, int64) {
+// updatesSince returns what a watch that has version rev needs first, the channel that is closed at the next change, and
+// the current version. It returns the full list if rev is 0, unknown or too old.
+func (d *Discovery) updatesSince(rev int64) ([]byte, chan struct{}, int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if rev <= 0 || rev > d.rev || len(d.changes) == 0 || rev < d.changes[0].rev-1 {
-		return d.whole(), d.changed, d.rev
+		return d.encodeFullList(), d.changed, d.rev
 	}
 	var text []byte
 	for i := len(d.changes) - 1; i >= 0 && d.changes[i].rev > rev; i-- {
-		text = append(d.changes[i].object[:len(d.changes[i].object):len(d.changes[i].object)], text...)
+		text = append(d.changes[i].line[:len(d.changes[i].line):len(d.changes[i].line)], text...)
 	}
 	if text == nil {
 		text = fmt.Appendf(nil, `{"rev":%d,"all":false,"targets":[]}`+"\n", d.rev)
@@ -195,16 +197,16 @@
 	return text, d.changed, d.rev
 }
 
-// Down takes the discovery away.
-func (d *Discovery) Down(how Outage) error {
-	if how != Refused && how != Refusing && how != Silent {
-		return fmt.Errorf("discovery: outage %q is unknown", how)
+// StartOutage makes the discovery unavailable.
+func (d *Discovery) StartOutage(outage Outage) error {
+	if outage != ConnRefused && outage != Unavailable && outage != Silent {
+		return fmt.Errorf("discovery: unknown outage %q", outage)
 	}
 	d.mu.Lock()
-	d.away, d.outages = how, append(d.outages, how)
-	d.signal()
+	d.outage, d.outages = outage, append(d.outages, outage)
+	d.notifyWatches()
 	d.mu.Unlock()
-	if how == Refused {
+	if outage == ConnRefused {
 		for _, p := range d.ports {
 			p.listener.Close()
 		}
@@ -212,36 +214,36 @@
 	return nil
 }
 
-// Up brings it back at its old addresses.
-func (d *Discovery) Up(ctx context.Context) error {
+// EndOutage ends the outage. The discovery is available again at its old addresses.
+func (d *Discovery) EndOutage(ctx context.Context) error {
 	d.mu.Lock()
-	closed := d.away == Refused
-	d.away = ""
-	d.signal()
+	portsClosed := d.outage == ConnRefused
+	d.outage = ""
+	d.notifyWatches()
 	d.mu.Unlock()
 	for _, p := range d.ports {
-		if !closed {
+		if !portsClosed {
 			break
 		}
 		var err error
-		again := func() bool { err = d.listen(p, p.addr); return !errors.Is(err, syscall.EADDRINUSE) }
-		if waited := await(ctx, listenAgain, again); waited != nil || err != nil {
-			return errors.Join(waited, err)
+		relisten := func() bool { err = d.listen(p, p.addr); return !errors.Is(err, syscall.EADDRINUSE) }
+		if waitErr := waitUntil(ctx, relistenTimeout, relisten); waitErr != nil || err != nil {
+			return errors.Join(waitErr, err)
 		}
 	}
 	return nil
 }
 
-// state is how it is away, and how many outages there have been.
-func (d *Discovery) state() (Outage, int) {
+// currentOutage returns the current outage, empty if there is none, and the number of outages so far.
+func (d *Discovery) currentOutage() (Outage, int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.away, len(d.outages)
+	return d.outage, len(d.outages)
 }
 
-// broke is the outage that ended a watch which began after so many of them; "" if there was none. It tells also of one
-// that is over before the watch has noticed.
-func (d *Discovery) broke(outages int) Outage {
+// outageAfter returns the first outage after the given number of them, or "" if there has been none. A watch passes the
+// number at its start, so that it also notices an outage that is already over.
+func (d *Discovery) outageAfter(outages int) Outage {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.outages) > outages {
@@ -255,37 +257,37 @@
 	p := r.Context().Value(portKey{}).(*port)
 	p.calls.Add(1)
 	d.mu.Lock()
-	if second := int(time.Since(d.began) / time.Second); second < 1<<16 {
-		for len(d.seconds) <= second {
-			d.seconds = append(d.seconds, 0)
+	if second := int(time.Since(d.markedAt) / time.Second); second < 1<<16 {
+		for len(d.callsBySecond) <= second {
+			d.callsBySecond = append(d.callsBySecond, 0)
 		}
-		d.seconds[second]++
+		d.callsBySecond[second]++
 	}
 	d.mu.Unlock()
 	if r.Method != http.MethodGet || r.URL.Path != "/api/targets" {
 		http.NotFound(w, r)
 		return
 	}
-	since := int64(0)
+	rev := int64(0)
 	if text := r.URL.Query().Get("since"); text != "" {
 		var err error
-		if since, err = strconv.ParseInt(text, 10, 64); err != nil {
+		if rev, err = strconv.ParseInt(text, 10, 64); err != nil {
 			http.Error(w, "since is no version", http.StatusBadRequest)
 			return
 		}
 	}
-	if !d.takeTurn(r.Context()) {
+	if !d.waitTurn(r.Context()) {
 		p.refused.Add(1)
 		http.Error(w, "no turn", http.StatusServiceUnavailable)
 		return
 	}
-	away, outages := d.state()
-	switch away {
+	outage, outages := d.currentOutage()
+	switch outage {
 	case Silent:
 		p.refused.Add(1)
-		d.silent(r.Context())
+		d.blockUntilClosed(r.Context())
 		panic(http.ErrAbortHandler)
-	case Refused, Refusing:
+	case ConnRefused, Unavailable:
 		p.refused.Add(1)
 		http.Error(w, "down", http.StatusServiceUnavailable)
 		return
@@ -294,25 +296,25 @@
 	if r.URL.Query().Get("follow") == "1" {
 		p.watches.Add(1)
 		defer p.watches.Add(-1)
-		d.follow(w, r, p, since, outages)
+		d.serveWatch(w, r, p, rev, outages)
 		return
 	}
-	text, _, _ := d.since(0)
-	d.noteAnswer(p)
+	text, _, _ := d.updatesSince(0)
+	d.recordAnswer(p)
 	w.Write(text)
 }
 
-// takeTurn waits for the call's turn and takes the time that it needs; false if that came too late.
-func (d *Discovery) takeTurn(ctx context.Context) bool {
-	var late <-chan time.Time
+// waitTurn waits for the call's turn and then for its handling time. It returns false if the turn does not come in time.
+func (d *Discovery) waitTurn(ctx context.Context) bool {
+	var expired <-chan time.Time
 	if d.maxWait > 0 {
 		timer := time.NewTimer(d.maxWait)
 		defer timer.Stop()
-		late = timer.C
+		expired = timer.C
 	}
 	select {
 	case d.turn <- struct{}{}:
-	case <-late:
+	case <-expired:
 		return false
 	case <-ctx.Done():
 		return false
@@ -320,55 +322,56 @@
 		return false
 	}
 	defer func() { <-d.turn }()
-	return d.callTime <= 0 || pause(ctx, d.callTime) == nil
+	return d.callTime <= 0 || sleep(ctx, d.callTime) == nil
 }
 
-// silent says nothing for as long as the connection lasts, also past the outage.
-func (d *Discovery) silent(ctx context.Context) {
+// blockUntilClosed sends nothing until the connection is closed, even after the outage has ended.
+func (d *Discovery) blockUntilClosed(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-d.ctx.Done():
 	}
 }
 
-// noteAnswer notes the first answer since the last mark.
-func (d *Discovery) noteAnswer(p *port) {
+// recordAnswer records the first answer through p since resetCounts.
+func (d *Discovery) recordAnswer(p *port) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if p.answered.IsZero() {
-		p.answered = time.Now()
+	if p.firstAnswer.IsZero() {
+		p.firstAnswer = time.Now()
 	}
 }
 
-// follow serves a watch until its connection or the discovery ends. A watch that fell silent is broken for good.
-func (d *Discovery) follow(w http.ResponseWriter, r *http.Request, p *port, rev int64, outages int) {
-	out := http.NewResponseController(w)
-	beats := time.NewTicker(d.beat)
-	defer beats.Stop()
+// serveWatch serves a watch until its connection or the discovery is closed. A watch that an outage has silenced stays
+// silent after it. outages is the number of outages before the watch began.
+func (d *Discovery) serveWatch(w http.ResponseWriter, r *http.Request, p *port, rev int64, outages int) {
+	controller := http.NewResponseController(w)
+	heartbeats := time.NewTicker(d.heartbeat)
+	defer heartbeats.Stop()
 	for first := true; ; first = false {
-		text, changed, now := d.since(rev)
-		switch broke := d.broke(outages); {
-		case broke == Silent:
-			d.silent(r.Context())
+		text, changed, current := d.updatesSince(rev)
+		switch outage := d.outageAfter(outages); {
+		case outage == Silent:
+			d.blockUntilClosed(r.Context())
 			panic(http.ErrAbortHandler)
-		case broke != "":
-			panic(http.ErrAbortHandler) // breaks the connection off
+		case outage != "":
+			panic(http.ErrAbortHandler) // closes the connection abruptly
 		case first:
-			d.noteAnswer(p)
-		case now == rev:
+			d.recordAnswer(p)
+		case current == rev:
 			text = []byte("\n")
 		}
-		rev = now
-		out.SetWriteDeadline(time.Now().Add(writeTime))
+		rev = current
+		controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := w.Write(text); err != nil {
 			return
 		}
-		if err := out.Flush(); err != nil {
+		if err := controller.Flush(); err != nil {
 			return
 		}
 		select {
 		case <-changed:
-		case <-beats.C:
+		case <-heartbeats.C:
 		case <-r.Context().Done():
 			return
 		case <-d.ctx.Done():
@@ -377,83 +380,86 @@
 	}
 }
 
-// Traffic is what came and went for control, at some sidecars or all.
+// Traffic counts the control traffic between discovery and sidecars.
 type Traffic struct {
-	Calls    int64 `json:"calls"`
-	Refused  int64 `json:"refused"`  // calls with 503 or no answer; those that met no listener are not seen
-	Received int64 `json:"received"` // bytes
-	Wrote    int64 `json:"wrote"`
-	Watches  int64 `json:"watches"` // open now
+	Calls    int64 `json:"calls"`    // list calls and watches
+	Refused  int64 `json:"refused"`  // calls with status 503 or no answer; refused connections are not counted
+	Received int64 `json:"received"` // bytes from sidecars
+	Sent     int64 `json:"wrote"`    // bytes to sidecars
+	Watches  int64 `json:"watches"`  // watches open now
 }
 
-func (t Traffic) minus(o Traffic) Traffic {
-	return Traffic{t.Calls - o.Calls, t.Refused - o.Refused, t.Received - o.Received, t.Wrote - o.Wrote, t.Watches}
+// sub returns the traffic since earlier. Watches stays the number that is open now.
+func (t Traffic) sub(earlier Traffic) Traffic {
+	return Traffic{t.Calls - earlier.Calls, t.Refused - earlier.Refused, t.Received - earlier.Received, t.Sent - earlier.Sent, t.Watches}
 }
 
-// Traffic sums up all sidecars.
+// Traffic returns the traffic of all sidecars so far.
 func (d *Discovery) Traffic() Traffic {
 	var t Traffic
 	for _, p := range d.ports {
 		t.Calls += p.calls.Load()
 		t.Refused += p.refused.Load()
 		t.Received += p.received.Load()
-		t.Wrote += p.wrote.Load()
+		t.Sent += p.sent.Load()
 		t.Watches += p.watches.Load()
 	}
 	return t
 }
 
-// mark forgets who has been answered and counts calls a second anew.
-func (d *Discovery) mark() {
+// resetCounts clears the first answers and the counts of calls by second.
+func (d *Discovery) resetCounts() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.began, d.seconds = time.Now(), nil
+	d.markedAt, d.callsBySecond = time.Now(), nil
 	for _, p := range d.ports {
-		p.answered = time.Time{}
+		p.firstAnswer = time.Time{}
 	}
 }
 
-// answered tells how many sidecars a call of has been answered since the mark, and when the last of them was first.
-func (d *Discovery) answered() (n int, last time.Time) {
+// answeredSidecars returns the number of sidecars that have been answered since resetCounts, and the time at which the
+// last of them got its first answer.
+func (d *Discovery) answeredSidecars() (n int, last time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, p := range d.ports {
-		if p.answered.IsZero() {
+		if p.firstAnswer.IsZero() {
 			continue
 		}
 		n++
-		if p.answered.After(last) {
-			last = p.answered
+		if p.firstAnswer.After(last) {
+			last = p.firstAnswer
 		}
 	}
 	return n, last
 }
 
-// perSecond is the calls seen in each second since the mark; seconds past the last call are left out.
-func (d *Discovery) perSecond() []int {
+// callsPerSecond returns the number of calls in each second since resetCounts, up to the second of the last call.
+func (d *Discovery) callsPerSecond() []int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]int{}, d.seconds...)
+	return append([]int{}, d.callsBySecond...)
 }
 
-// counted is a connection whose bytes its port counts.
-type counted struct {
+// countedConn is a connection that counts its bytes in its port.
+type countedConn struct {
 	net.Conn
 	port *port
 }
 
-func (c *counted) Read(b []byte) (int, error) {
+func (c *countedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.port.received.Add(int64(n))
 	return n, err
 }
 
-func (c *counted) Write(b []byte) (int, error) {
+func (c *countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.port.wrote.Add(int64(n))
+	c.port.sent.Add(int64(n))
 	return n, err
 }
 
+// countedListener wraps the accepted connections in countedConn.
 type countedListener struct {
 	net.Listener
 	port *port
@@ -464,5 +470,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return &counted{c, l.port}, nil
+	return &countedConn{c, l.port}, nil
 }
--- a/internal/rig/endpoints.go
+++ b/internal/rig/endpoints.go
@@ -15,36 +15,36 @@
 )
 
 const (
-	maxBody   = 64 << 10         // of a request, as the protocol says
-	endIdle   = 10 * time.Second // an endpoint closes a connection that was idle for so long
-	answerLen = 256              // bytes of an answer
+	maxRequestBody      = 64 << 10         // limit of the protocol, in bytes
+	endpointIdleTimeout = 10 * time.Second // after which an endpoint closes a connection
+	answerSize          = 256              // body of an answer, in bytes
 )
 
-// Endpoints is a set of stand-in endpoints. Each takes any number of connections, works for a fixed time on a call and
-// serves it; a new connection costs it nothing.
+// Endpoints is a set of stand-in endpoints. Each accepts any number of connections and answers a call after a fixed
+// service time. A new connection adds no simulated cost.
 type Endpoints struct {
-	work      time.Duration
-	server    *http.Server
-	listeners []net.Listener
-	answer    []byte
-	ctx       context.Context
-	stop      context.CancelFunc
+	serviceTime time.Duration
+	server      *http.Server
+	listeners   []net.Listener
+	answer      []byte
+	ctx         context.Context
+	cancel      context.CancelFunc
 
 	calls, connections atomic.Int64
 }
 
-// NewEndpoints starts n of them on loopback. Close ends them.
-func NewEndpoints(n int, work time.Duration) (*Endpoints, error) {
-	if n < 1 || n > MaxListeners {
-		return nil, fmt.Errorf("endpoints: %d; 1 to %d are started", n, MaxListeners)
+// NewEndpoints starts n endpoints on loopback. Close stops them.
+func NewEndpoints(n int, serviceTime time.Duration) (*Endpoints, error) {
+	if n < 1 || n > MaxEndpointAddrs {
+		return nil, fmt.Errorf("endpoints: %d; the number must be from 1 to %d", n, MaxEndpointAddrs)
 	}
-	e := &Endpoints{work: work, answer: make([]byte, answerLen)}
+	e := &Endpoints{serviceTime: serviceTime, answer: make([]byte, answerSize)}
 	for i := range e.answer {
 		e.answer[i] = 'x'
 	}
-	e.ctx, e.stop = context.WithCancel(context.Background())
+	e.ctx, e.cancel = context.WithCancel(context.Background())
 	e.server = &http.Server{
-		Handler: http.HandlerFunc(e.handle), IdleTimeout: endIdle, ReadHeaderTimeout: callTimeout,
+		Handler: http.HandlerFunc(e.handle), IdleTimeout: endpointIdleTimeout, ReadHeaderTimeout: callTimeout,
 		ErrorLog: log.New(io.Discard, "", 0),
 		ConnState: func(_ net.Conn, s http.ConnState) {
 			if s == http.StateNew {
@@ -53,56 +53,57 @@
 		},
 	}
 	for range n {
-		ln, err := net.Listen("tcp", host)
+		ln, err := net.Listen("tcp", listenAddr)
 		if err != nil {
 			e.Close()
 			return nil, fmt.Errorf("endpoints: %w", err)
 		}
 		e.listeners = append(e.listeners, ln)
-		go e.server.Serve(ln) // ends with Close
+		go e.server.Serve(ln) // returns after Close
 	}
 	return e, nil
 }
 
-// Close ends them all.
+// Close stops all endpoints.
 func (e *Endpoints) Close() {
-	e.stop()
+	e.cancel()
 	e.server.Close()
 	for _, ln := range e.listeners {
 		ln.Close()
 	}
 }
 
-// Addr is the address of the endpoint of that number; past the last one they are used again.
+// Addr returns the address of endpoint i. Numbers past the last endpoint start again at the first.
 func (e *Endpoints) Addr(i int) string { return e.listeners[i%len(e.listeners)].Addr().String() }
 
-// Target is the entry of that number in a list. Entries past the last address are hollow: they share the others'.
+// Target returns list entry i. Entries past the last address are hollow: they share the addresses of earlier entries.
 func (e *Endpoints) Target(i int) sidecar.Target {
 	return sidecar.Target{
 		UID: "s-" + strconv.Itoa(i), Endpoint: e.Addr(i), Zone: "z", Kind: "k", Cell: uint16(i % 16), State: "Ready", Weight: 1,
 	}
 }
 
-// Targets are the first n entries.
+// Targets returns the first n list entries.
 func (e *Endpoints) Targets(n int) []sidecar.Target {
-	var all []sidecar.Target
+	var targets []sidecar.Target
 	for i := range n {
-		all = append(all, e.Target(i))
+		targets = append(targets, e.Target(i))
 	}
-	return all
+	return targets
 }
 
+// handle answers a call, or with status 404 a request without an id.
 func (e *Endpoints) handle(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get("X-Request-Id") == "" {
 		http.NotFound(w, r)
 		return
 	}
-	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxBody)); err != nil {
+	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, maxRequestBody)); err != nil {
 		return
 	}
 	e.calls.Add(1)
-	if e.work > 0 {
-		timer := time.NewTimer(e.work)
+	if e.serviceTime > 0 {
+		timer := time.NewTimer(e.serviceTime)
 		defer timer.Stop()
 		select {
 		case <-timer.C:
--- a/internal/rig/fanout.go
+++ b/internal/rig/fanout.go
@@ -20,110 +20,111 @@
 	"forkline/internal/slope"
 )
 
-// DiscoveryCost measures what watches, changes and whole lists cost the stand-in discovery, which runs as a process of
-// its own for that. It tells nothing of another discovery than how much there is to write. Zero figures take the defaults.
+// DiscoveryCost measures what watches, changes and full lists cost the stand-in discovery, which runs as a separate
+// process for this. Of other discovery services it shows only how many bytes they must send. Zero fields take the
+// defaults.
 type DiscoveryCost struct {
-	Command []string      // starts a process that runs ServeDiscovery on its standard streams; the length of the list follows
-	For     time.Duration // each figure is measured; default 5 s
-	Watches []int         // open at once, at a list of 300; default 10 to 1,000
-	Changes int           // changes a minute for them; default 600
-	Lists   []int         // lengths of the list, for whole lists; default 10 to 2,800
+	Command          []string      // runs ServeDiscovery on its standard streams; the list length is appended
+	Duration         time.Duration // time of each measurement; default 5 s
+	Watches          []int         // watches open at once, with a list of 300 entries; default 10 to 1,000
+	ChangesPerMinute int           // changes sent to the watches; default 600
+	ListLengths      []int         // list lengths for calls that get the full list; default 10 to 2,800
 }
 
-const mostWatches = 5000
+const maxWatches = 5000
 
-// Run measures one thing after another.
+// Run takes the measurements one after another.
 func (o DiscoveryCost) Run(ctx context.Context) (Result, error) {
-	o.For, o.Changes = cmp.Or(o.For, 5*time.Second), cmp.Or(o.Changes, 600)
+	o.Duration, o.ChangesPerMinute = cmp.Or(o.Duration, 5*time.Second), cmp.Or(o.ChangesPerMinute, 600)
 	if len(o.Watches) == 0 {
 		o.Watches = []int{10, 30, 100, 300, 1000}
 	}
-	if len(o.Lists) == 0 {
-		o.Lists = []int{10, 100, 300, 1000, 2800}
+	if len(o.ListLengths) == 0 {
+		o.ListLengths = []int{10, 100, 300, 1000, 2800}
 	}
 	if len(o.Command) == 0 {
 		return Result{}, fmt.Errorf("rig: no command for the stand-in discovery")
 	}
-	machine := Observe()
+	observed := ObserveMachine()
 	r := Result{Series: []slope.Series{
-		{Name: "stand-in: watches with nothing to tell", X: "watches", Y: cpuRest},
+		{Name: "stand-in: watches with nothing to tell", X: "watches", Y: unitCPUPerSecond},
 		{Name: "stand-in: a change of one entry", X: "watches", Y: "ms of processor time a change"},
 		{Name: "stand-in: a change of one entry", X: "watches", Y: "bytes a change"},
-		{Name: "stand-in: a whole list", X: listLen, Y: "ms of processor time a call"},
-		{Name: "stand-in: a whole list", X: listLen, Y: "bytes a call"},
+		{Name: "stand-in: a whole list", X: axisListLength, Y: "ms of processor time a call"},
+		{Name: "stand-in: a whole list", X: axisListLength, Y: "bytes a call"},
 	}}
 	for _, n := range o.Watches {
-		if err := o.watches(ctx, n, r.Series[0:3]); err != nil {
+		if err := o.measureWatches(ctx, n, r.Series[0:3]); err != nil {
 			return r, err
 		}
 	}
-	for _, n := range o.Lists {
-		if err := o.wholeLists(ctx, n, r.Series[3:5]); err != nil {
+	for _, n := range o.ListLengths {
+		if err := o.measureFullLists(ctx, n, r.Series[3:5]); err != nil {
 			return r, err
 		}
 	}
-	r.Machine = machine()
+	r.Machine = observed()
 	return r, nil
 }
 
-// watches measures so many watches, with nothing to tell and then with changes.
-func (o DiscoveryCost) watches(ctx context.Context, n int, to []slope.Series) error {
-	if n < 1 || n > mostWatches {
-		return fmt.Errorf("rig: %d watches; 1 to %d are opened", n, mostWatches)
+// measureWatches measures n watches, idle and then with changes.
+func (o DiscoveryCost) measureWatches(ctx context.Context, n int, series []slope.Series) error {
+	if n < 1 || n > maxWatches {
+		return fmt.Errorf("rig: %d watches; the number must be from 1 to %d", n, maxWatches)
 	}
-	child, err := o.start(ctx, restList)
+	child, err := o.startDiscovery(ctx, defaultListLength)
 	if err != nil {
 		return err
 	}
 	defer child.close()
 	var bytes atomic.Int64
-	following, stop := context.WithCancel(ctx)
+	watchCtx, stop := context.WithCancel(ctx)
 	var readers sync.WaitGroup
 	defer readers.Wait()
 	defer stop()
 	opened := make(chan error, n)
 	for range n {
-		readers.Go(func() { follow(following, child.addr, &bytes, opened) })
+		readers.Go(func() { readWatch(watchCtx, child.addr, &bytes, opened) })
 	}
 	for range n {
 		if err := <-opened; err != nil {
 			return fmt.Errorf("rig: %d watches: %w", n, err)
 		}
 	}
-	spent := func(perMinute int) (cpu, wrote, seconds float64, err error) {
-		if err := pause(ctx, settleTime); err != nil {
+	measure := func(perMinute int) (cpuMs, received, seconds float64, err error) {
+		if err := sleep(ctx, settleDelay); err != nil {
 			return 0, 0, 0, err
 		}
-		before, err := usage(child.cmd.Process.Pid)
+		before, err := readUsage(child.cmd.Process.Pid)
 		if err != nil {
 			return 0, 0, 0, err
 		}
-		begin, had := time.Now(), bytes.Load()
-		if err := child.change(ctx, perMinute, o.For); err != nil {
+		started, bytesBefore := time.Now(), bytes.Load()
+		if err := child.makeChanges(ctx, perMinute, o.Duration); err != nil {
 			return 0, 0, 0, err
 		}
-		after, err := usage(child.cmd.Process.Pid)
-		return milliseconds(after.CPU - before.CPU), float64(bytes.Load() - had),
-			time.Since(begin).Seconds(), err
+		after, err := readUsage(child.cmd.Process.Pid)
+		return milliseconds(after.CPU - before.CPU), float64(bytes.Load() - bytesBefore),
+			time.Since(started).Seconds(), err
 	}
-	cpu, wrote, seconds, err := spent(0)
+	cpuMs, received, seconds, err := measure(0)
 	if err != nil {
 		return err
 	}
-	restCPU, restBytes := cpu/seconds, wrote/seconds
-	to[0].Add(float64(n), restCPU)
-	if cpu, wrote, seconds, err = spent(o.Changes); err != nil {
+	idleCPUMsPerSecond, idleBytesPerSecond := cpuMs/seconds, received/seconds
+	series[0].Add(float64(n), idleCPUMsPerSecond)
+	if cpuMs, received, seconds, err = measure(o.ChangesPerMinute); err != nil {
 		return err
 	}
-	changes := float64(o.Changes) * o.For.Minutes()
-	to[1].Add(float64(n), max(0, cpu-restCPU*seconds)/changes)
-	to[2].Add(float64(n), max(0, wrote-restBytes*seconds)/changes)
+	changes := float64(o.ChangesPerMinute) * o.Duration.Minutes()
+	series[1].Add(float64(n), max(0, cpuMs-idleCPUMsPerSecond*seconds)/changes)
+	series[2].Add(float64(n), max(0, received-idleBytesPerSecond*seconds)/changes)
 	return nil
 }
 
-// wholeLists measures calls for the whole list, one after another.
-func (o DiscoveryCost) wholeLists(ctx context.Context, n int, to []slope.Series) error {
-	child, err := o.start(ctx, n)
+// measureFullLists measures calls for the full list of n entries, one after another.
+func (o DiscoveryCost) measureFullLists(ctx context.Context, n int, series []slope.Series) error {
+	child, err := o.startDiscovery(ctx, n)
 	if err != nil {
 		return err
 	}
@@ -131,42 +132,43 @@
 	client := &http.Client{Timeout: callTimeout}
 	defer client.CloseIdleConnections()
 	calls, bytes := 0, int64(0)
-	before, err := usage(child.cmd.Process.Pid)
+	before, err := readUsage(child.cmd.Process.Pid)
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(o.For); calls < 10 || time.Now().Before(end); calls++ {
+	for deadline := time.Now().Add(o.Duration); calls < 10 || time.Now().Before(deadline); calls++ {
 		req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+child.addr+"/api/targets", nil)
 		if err != nil {
 			return err
 		}
 		res, err := client.Do(req)
 		if err != nil {
-			return fmt.Errorf("rig: whole list: %w", err)
+			return fmt.Errorf("rig: full list: %w", err)
 		}
-		got, err := io.Copy(io.Discard, res.Body)
+		size, err := io.Copy(io.Discard, res.Body)
 		res.Body.Close()
 		if err != nil || res.StatusCode != http.StatusOK {
-			return fmt.Errorf("rig: whole list: %s, %w", res.Status, err)
+			return fmt.Errorf("rig: full list: %s, %w", res.Status, err)
 		}
-		bytes += got
+		bytes += size
 	}
-	after, err := usage(child.cmd.Process.Pid)
-	to[0].Add(float64(n), milliseconds(after.CPU-before.CPU)/float64(calls))
-	to[1].Add(float64(n), float64(bytes)/float64(calls))
+	after, err := readUsage(child.cmd.Process.Pid)
+	series[0].Add(float64(n), milliseconds(after.CPU-before.CPU)/float64(calls))
+	series[1].Add(float64(n), float64(bytes)/float64(calls))
 	return err
 }
 
-// follow opens one watch, tells whether it is open, and counts the bytes of its body until ctx ends.
-func follow(ctx context.Context, addr string, bytes *atomic.Int64, opened chan<- error) {
-	c, err := (&net.Dialer{Timeout: dialClient}).DialContext(ctx, "tcp", addr)
+// readWatch opens one watch, sends to opened nil or the reason why it could not be opened, and counts the bytes of its
+// body in received until ctx ends.
+func readWatch(ctx context.Context, addr string, received *atomic.Int64, opened chan<- error) {
+	c, err := (&net.Dialer{Timeout: clientDialTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
 		opened <- err
 		return
 	}
 	defer c.Close()
 	defer context.AfterFunc(ctx, func() { c.Close() })()
-	c.SetDeadline(time.Now().Add(startTime))
+	c.SetDeadline(time.Now().Add(startTimeout))
 	_, err = io.WriteString(c, "GET /api/targets?follow=1&since=0 HTTP/1.1\r\nHost: discovery\r\n\r\n")
 	r := bufio.NewReader(c)
 	if err == nil {
@@ -180,30 +182,31 @@
 	buffer := make([]byte, 4096)
 	for {
 		n, err := r.Read(buffer)
-		bytes.Add(int64(n))
+		received.Add(int64(n))
 		if err != nil {
 			return
 		}
 	}
 }
 
-// discoveryChild is the stand-in as a process of its own.
-type discoveryChild struct {
+// discoveryProcess is a stand-in discovery in a separate process.
+type discoveryProcess struct {
 	cmd   *exec.Cmd
 	addr  string
-	in    io.WriteCloser
-	lines chan string
+	stdin io.WriteCloser
+	lines chan string // lines of its standard output
 }
 
-func (o DiscoveryCost) start(ctx context.Context, entries int) (*discoveryChild, error) {
+// startDiscovery starts the process and waits for its address.
+func (o DiscoveryCost) startDiscovery(ctx context.Context, entries int) (*discoveryProcess, error) {
 	args := append(append([]string{}, o.Command[1:]...), strconv.Itoa(entries))
-	d := &discoveryChild{cmd: exec.CommandContext(ctx, o.Command[0], args...), lines: make(chan string, 1)}
+	d := &discoveryProcess{cmd: exec.CommandContext(ctx, o.Command[0], args...), lines: make(chan string, 1)}
 	d.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	out, err := d.cmd.StdoutPipe()
+	stdout, err := d.cmd.StdoutPipe()
 	if err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
-	if d.in, err = d.cmd.StdinPipe(); err != nil {
+	if d.stdin, err = d.cmd.StdinPipe(); err != nil {
 		return nil, fmt.Errorf("discovery: %w", err)
 	}
 	if err := d.cmd.Start(); err != nil {
@@ -211,20 +214,20 @@
 	}
 	go func() {
 		defer close(d.lines)
-		for lines := bufio.NewScanner(out); lines.Scan(); {
+		for lines := bufio.NewScanner(stdout); lines.Scan(); {
 			d.lines <- lines.Text()
 		}
 	}()
-	if d.addr, err = d.line(ctx, startTime); err != nil {
+	if d.addr, err = d.nextLine(ctx, startTimeout); err != nil {
 		d.close()
 		return nil, err
 	}
 	return d, nil
 }
 
-// line is the next line that the child tells.
-func (d *discoveryChild) line(ctx context.Context, most time.Duration) (string, error) {
-	timer := time.NewTimer(most)
+// nextLine returns the next line of the process's output.
+func (d *discoveryProcess) nextLine(ctx context.Context, timeout time.Duration) (string, error) {
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
 	case text, ok := <-d.lines:
@@ -233,36 +236,37 @@
 		}
 		return text, nil
 	case <-timer.C:
-		return "", fmt.Errorf("discovery: %w", errWaited)
+		return "", fmt.Errorf("discovery: %w", errTimeout)
 	case <-ctx.Done():
 		return "", ctx.Err()
 	}
 }
 
-// change has the child make changes for a while, and waits for their end.
-func (d *discoveryChild) change(ctx context.Context, perMinute int, span time.Duration) error {
-	if _, err := fmt.Fprintln(d.in, perMinute, span); err != nil {
+// makeChanges has the process make changes for the duration, and waits for their end.
+func (d *discoveryProcess) makeChanges(ctx context.Context, perMinute int, duration time.Duration) error {
+	if _, err := fmt.Fprintln(d.stdin, perMinute, duration); err != nil {
 		return fmt.Errorf("discovery: %w", err)
 	}
-	_, err := d.line(ctx, span+startTime)
+	_, err := d.nextLine(ctx, duration+startTimeout)
 	return err
 }
 
-// close ends the child.
-func (d *discoveryChild) close() {
-	d.in.Close()
+// close kills the process and waits until it has ended.
+func (d *discoveryProcess) close() {
+	d.stdin.Close()
 	d.cmd.Process.Kill()
-	for range d.lines { // until its output has ended
+	for range d.lines { // drain the output to its end
 	}
 	d.cmd.Wait()
 }
 
-// ServeDiscovery runs a stand-in discovery with a list of so many entries, which nobody serves. It tells its address on a
-// line of out. A line of in, "CHANGES SPAN", has it make so many changes a minute for a time and tell "done" then. It
-// ends when in does, or ctx.
+// ServeDiscovery runs a stand-in discovery with a list of the given number of entries, whose addresses nobody serves. It
+// writes its address to out as the first line. For each line "CHANGES DURATION" of in it makes that many changes a minute
+// for the duration and then writes the line "done". It returns when in ends, or when ctx ends
+// during changes.
 func ServeDiscovery(ctx context.Context, entries int, in io.Reader, out io.Writer) error {
 	if entries < 1 {
-		return fmt.Errorf("discovery: %d entries", entries)
+		return fmt.Errorf("discovery: invalid list length %d; must be at least 1", entries)
 	}
 	d, err := NewDiscovery(1, 0, 0)
 	if err != nil {
@@ -284,15 +288,15 @@
 	}
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		var perMinute int
-		var text string
-		if _, err := fmt.Sscan(lines.Text(), &perMinute, &text); err != nil {
+		var durationText string
+		if _, err := fmt.Sscan(lines.Text(), &perMinute, &durationText); err != nil {
 			return fmt.Errorf("discovery: %q: %w", lines.Text(), err)
 		}
-		span, err := time.ParseDuration(text)
+		duration, err := time.ParseDuration(durationText)
 		if err != nil {
 			return fmt.Errorf("discovery: %w", err)
 		}
-		if err := makeChanges(ctx, d, targets, perMinute, span); err != nil {
+		if err := makeChanges(ctx, d, targets, perMinute, duration); err != nil {
 			return err
 		}
 		if _, err := fmt.Fprintln(out, "done"); err != nil {
--- a/internal/rig/fleet.go
+++ b/internal/rig/fleet.go
@@ -11,40 +11,40 @@
 	"time"
 )
 
-// Fleet plays outages of discovery and a wave of restarts with real sidecars, to compare hollow ones with. Zero figures
-// take the defaults.
+// Fleet runs outages of discovery and a wave of restarts with real sidecars, for comparison with a hollow fleet. Zero
+// fields take the defaults.
 type Fleet struct {
-	Binary    string        // the program; "" = it is built from this source tree
-	Sidecars  int           // default 20
-	Endpoints int           // default 30
-	Pushed    bool          // lists are pushed, not asked for
-	Rate      float64       // calls a second of clients, over all sidecars; default 0, so that all processor time is control's
-	Work      time.Duration // of an endpoint on a call; default 0
-	CallTime  time.Duration // discovery's, for each call in turn; default 0
-	MaxWait   time.Duration // of a call for its turn; default none
-	AskEvery  time.Duration // the settings' time between calls of one that has no watch; default 10 s
-	Outages   []Outage      // one after another; default all three ways
-	Rest      time.Duration // measured before them, and after the last answer of each; default 10 s
-	Away      time.Duration // length of an outage; default 8 s
-	Killed    float64       // share of the sidecars that are killed at once and started again; default 0.7, negative = none
+	Binary            string        // path of the sidecar; if empty, it is built from this source tree
+	Sidecars          int           // default 20
+	Endpoints         int           // default 30
+	PushLists         bool          // sidecars have their lists pushed instead of requesting them
+	Rate              float64       // client calls a second over all sidecars; default 0, so that all processor time is for control
+	ServiceTime       time.Duration // of an endpoint for a call; default 0
+	DiscoveryCallTime time.Duration // time that discovery takes for each call, one at a time; default 0
+	DiscoveryMaxWait  time.Duration // longest wait of a call for its turn; default unlimited
+	PollInterval      time.Duration // setting: time between list calls of a sidecar without a watch; default 10 s
+	Outages           []Outage      // outages, one after another; default all three kinds
+	RestTime          time.Duration // measured time at rest, before the outages and after the recovery from each; default 10 s
+	OutageTime        time.Duration // length of an outage; default 8 s
+	KilledShare       float64       // share of the sidecars killed at once and restarted; default 0.7, negative = none
 }
 
-// Phase is what was measured in a part of a run. Processor time and memory are of one sidecar.
+// Phase holds the measurements of one phase of a run. Processor time and memory are per sidecar.
 type Phase struct {
 	Name           string  `json:"name"`
 	Seconds        float64 `json:"seconds"`
 	Control        Traffic `json:"control"`
-	CallsPerSecond []int   `json:"calls_per_second"` // that discovery saw
-	CPU            float64 `json:"cpu_ms_s"`         // mean processor time a second
-	CPUMost        float64 `json:"cpu_ms_s_most"`
-	ResidentMB     float64 `json:"resident_mb"` // mean, at the end
-	ResidentMost   float64 `json:"resident_mb_most"`
-	Calls          Calls   `json:"calls"`    // of clients; those open at the end are left out
-	Answered       int     `json:"answered"` // sidecars of which discovery has answered a call since the phase began
-	Told           float64 `json:"told_ms"`  // from the phase's beginning until the last of all, or of the restarted, was; -1 = not told
-	Restarted      int     `json:"restarted"`
-	ReadyP50       float64 `json:"ready_p50_ms"` // from a process's start until it is ready
-	ReadyMax       float64 `json:"ready_max_ms"`
+	CallsPerSecond []int   `json:"calls_per_second"` // calls that discovery received in each second
+	CPUMean        float64 `json:"cpu_ms_s"`         // mean over the sidecars, ms of processor time a second
+	CPUMax         float64 `json:"cpu_ms_s_most"`    // highest of a sidecar
+	ResidentMean   float64 `json:"resident_mb"`      // mean over the sidecars at the end of the phase, MB
+	ResidentMax    float64 `json:"resident_mb_most"` // highest of a sidecar
+	Calls          Calls   `json:"calls"`            // client calls, without those in flight at the end
+	Answered       int     `json:"answered"`         // number of sidecars that discovery has answered since the phase began
+	LastAnswer     float64 `json:"told_ms"`          // ms from the start of the phase until all, or all restarted, were answered; -1 = unknown
+	Restarted      int     `json:"restarted"`        // number of sidecars started
+	ReadyP50       float64 `json:"ready_p50_ms"`     // ms from the start of a process until it is ready
+	ReadyMax       float64 `json:"ready_max_ms"`     // likewise, of the slowest
 }
 
 // FleetResult holds the phases in order.
@@ -52,131 +52,133 @@
 	Machine   Machine `json:"machine"`
 	Sidecars  int     `json:"sidecars"`
 	Endpoints int     `json:"endpoints"`
-	Pushed    bool    `json:"pushed"`
+	PushLists bool    `json:"pushed"`
 	Phases    []Phase `json:"phases"`
 }
 
-const toldMost = time.Minute // longest wait for the last sidecar to be answered
+const maxAnswerWait = time.Minute // longest wait for the last sidecar to be answered
 
-// Run plays the phases.
+// Run runs the phases and measures each.
 func (o Fleet) Run(ctx context.Context) (FleetResult, error) {
 	o.Sidecars, o.Endpoints = cmp.Or(o.Sidecars, 20), cmp.Or(o.Endpoints, 30)
-	o.Rest, o.Away, o.Killed = cmp.Or(o.Rest, 10*time.Second), cmp.Or(o.Away, 8*time.Second), cmp.Or(o.Killed, 0.7)
-	o.AskEvery = cmp.Or(o.AskEvery, askEvery)
+	o.RestTime, o.OutageTime, o.KilledShare =
+		cmp.Or(o.RestTime, 10*time.Second), cmp.Or(o.OutageTime, 8*time.Second), cmp.Or(o.KilledShare, 0.7)
+	o.PollInterval = cmp.Or(o.PollInterval, defaultPollInterval)
 	if o.Outages == nil {
-		o.Outages = []Outage{Refused, Refusing, Silent}
+		o.Outages = []Outage{ConnRefused, Unavailable, Silent}
 	}
-	r := FleetResult{Sidecars: o.Sidecars, Endpoints: o.Endpoints, Pushed: o.Pushed}
-	if o.Killed > 1 {
-		return r, fmt.Errorf("rig: %v of the sidecars cannot be killed", o.Killed)
+	r := FleetResult{Sidecars: o.Sidecars, Endpoints: o.Endpoints, PushLists: o.PushLists}
+	if o.KilledShare > 1 {
+		return r, fmt.Errorf("rig: cannot kill a share of %v of the sidecars; the maximum is 1", o.KilledShare)
 	}
-	machine := Observe()
-	b, err := newBench(ctx, o.Binary, o.Sidecars, o.Endpoints, o.Work)
+	observed := ObserveMachine()
+	b, err := newTestbed(ctx, o.Binary, o.Sidecars, o.Endpoints, o.ServiceTime)
 	if err != nil {
 		return r, err
 	}
 	defer b.close()
-	b.discovery.callTime, b.discovery.maxWait = o.CallTime, o.MaxWait // nobody asks yet
-	b.askEvery = o.AskEvery
-	f := &fleet{Fleet: o, bench: b}
-	all := make([]int, o.Sidecars)
-	for i := range all {
-		all[i] = i
+	b.discovery.callTime, b.discovery.maxWait = o.DiscoveryCallTime, o.DiscoveryMaxWait // set before the first sidecar starts
+	b.pollInterval = o.PollInterval
+	f := &fleetRun{Fleet: o, testbed: b}
+	allSidecars := make([]int, o.Sidecars)
+	for i := range allSidecars {
+		allSidecars[i] = i
 	}
-	for _, play := range f.plays(all) {
-		p, err := f.phase(ctx, play)
+	for _, step := range f.steps(allSidecars) {
+		phase, err := f.measureStep(ctx, step)
 		if err != nil {
-			return r, fmt.Errorf("%s: %w", play.name, err)
+			return r, fmt.Errorf("%s: %w", step.name, err)
 		}
-		r.Phases = append(r.Phases, p)
+		r.Phases = append(r.Phases, phase)
 	}
-	r.Machine = machine()
+	r.Machine = observed()
 	return r, nil
 }
 
-// fleet is a run.
-type fleet struct {
+// fleetRun is one run of a Fleet.
+type fleetRun struct {
 	Fleet
-	*bench
+	*testbed
 }
 
-// play is what happens in a phase.
-type play struct {
-	name  string
-	first bool // nothing runs before it
-	do    func(ctx context.Context, p *Phase, begin time.Time) error
+// step is what happens in one phase.
+type step struct {
+	name           string
+	startsSidecars bool // it starts the sidecars, so none runs before it
+	run            func(ctx context.Context, p *Phase, started time.Time) error
 }
 
-func (f *fleet) plays(all []int) []play {
-	rest := func(ctx context.Context, _ *Phase, _ time.Time) error { return pause(ctx, f.Rest) }
-	plays := []play{
-		{"start", true, func(ctx context.Context, p *Phase, begin time.Time) error {
-			if err := f.restart(ctx, p, all); err != nil {
+// steps returns the steps in their order.
+func (f *fleetRun) steps(allSidecars []int) []step {
+	restStep := func(ctx context.Context, _ *Phase, _ time.Time) error { return sleep(ctx, f.RestTime) }
+	steps := []step{
+		{"start", true, func(ctx context.Context, p *Phase, started time.Time) error {
+			if err := f.restartSidecars(ctx, p, allSidecars); err != nil {
 				return err
 			}
-			return f.awaitAnswers(ctx, p, begin)
+			return f.waitAnswers(ctx, p, started)
 		}},
-		{"at rest", false, rest},
+		{"at rest", false, restStep},
 	}
-	for _, how := range f.Outages {
-		plays = append(plays,
-			play{"away: " + string(how), false, func(ctx context.Context, _ *Phase, _ time.Time) error {
-				if err := f.discovery.Down(how); err != nil {
+	for _, outage := range f.Outages {
+		steps = append(steps,
+			step{"away: " + string(outage), false, func(ctx context.Context, _ *Phase, _ time.Time) error {
+				if err := f.discovery.StartOutage(outage); err != nil {
 					return err
 				}
-				return pause(ctx, f.Away)
+				return sleep(ctx, f.OutageTime)
 			}},
-			play{"back: " + string(how), false, func(ctx context.Context, p *Phase, begin time.Time) error {
-				if err := f.discovery.Up(ctx); err != nil {
+			step{"back: " + string(outage), false, func(ctx context.Context, p *Phase, started time.Time) error {
+				if err := f.discovery.EndOutage(ctx); err != nil {
 					return err
 				}
-				if err := f.awaitAnswers(ctx, p, begin); err != nil {
+				if err := f.waitAnswers(ctx, p, started); err != nil {
 					return err
 				}
-				return pause(ctx, f.Rest)
+				return sleep(ctx, f.RestTime)
 			}})
 	}
-	if n := int(math.Ceil(f.Killed * float64(len(all)))); n > 0 {
-		plays = append(plays, play{"restart wave", false, func(ctx context.Context, p *Phase, _ time.Time) error {
-			if err := f.restart(ctx, p, all[:n]); err != nil {
+	if n := int(math.Ceil(f.KilledShare * float64(len(allSidecars)))); n > 0 {
+		steps = append(steps, step{"restart wave", false, func(ctx context.Context, p *Phase, _ time.Time) error {
+			if err := f.restartSidecars(ctx, p, allSidecars[:n]); err != nil {
 				return err
 			}
-			return pause(ctx, f.Rest)
+			return sleep(ctx, f.RestTime)
 		}})
 	}
-	return plays
+	return steps
 }
 
-// phase carries out a play and measures it.
-func (f *fleet) phase(ctx context.Context, play play) (Phase, error) {
-	p := Phase{Name: play.name, Told: -1}
+// measureStep runs a step and measures it.
+func (f *fleetRun) measureStep(ctx context.Context, step step) (Phase, error) {
+	phase := Phase{Name: step.name, LastAnswer: -1}
 	before, err := f.usages()
-	if err != nil && !play.first {
-		return p, err
+	if err != nil && !step.startsSidecars {
+		return phase, err
 	}
-	via := newWay(rotate(1, f.Sidecars, f.addr))
+	via := newRoute(randomAddr(1, f.Sidecars, f.addr))
 	defer via.close()
-	calling, stop := context.WithCancel(ctx)
+	callCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	var clients sync.WaitGroup
-	if f.Rate > 0 && !play.first {
-		clients.Go(func() { load(calling, f.Rate, time.Hour, effects["safe"], 1, via) }) // ends with calling
+	if f.Rate > 0 && !step.startsSidecars {
+		clients.Go(func() { sendCalls(callCtx, f.Rate, time.Hour, classByEffect["safe"], 1, via) }) // returns when callCtx ends
 	}
-	f.discovery.mark()
-	begin, control := time.Now(), f.discovery.Traffic()
-	err = play.do(ctx, &p, begin)
-	p.Seconds = time.Since(begin).Seconds()
+	f.discovery.resetCounts()
+	started, controlBefore := time.Now(), f.discovery.Traffic()
+	err = step.run(ctx, &phase, started)
+	phase.Seconds = time.Since(started).Seconds()
 	stop()
 	clients.Wait()
 	if err != nil {
-		return p, err
+		return phase, err
 	}
-	p.Calls = via.result()
-	p.Control, p.CallsPerSecond = f.discovery.Traffic().minus(control), f.discovery.perSecond()
-	if p.Answered == 0 {
+	phase.Calls = via.results()
+	phase.Control, phase.CallsPerSecond = f.discovery.Traffic().sub(controlBefore), f.discovery.callsPerSecond()
+	if phase.Answered == 0 {
 		var last time.Time
-		if p.Answered, last = f.discovery.answered(); p.Restarted > 0 && p.Answered == p.Restarted {
-			p.Told = milliseconds(last.Sub(begin))
+		if phase.Answered, last = f.discovery.answeredSidecars(); phase.Restarted > 0 && phase.Answered == phase.Restarted {
+			phase.LastAnswer = milliseconds(last.Sub(started))
 		}
 	}
 	after, err := f.usages()
@@ -185,20 +187,20 @@
 		if i < len(before) {
 			cpu -= milliseconds(before[i].CPU)
 		}
-		p.CPU += cpu / p.Seconds / float64(len(after))
-		p.CPUMost = max(p.CPUMost, cpu/p.Seconds)
-		p.ResidentMB += mb(u.Resident) / float64(len(after))
-		p.ResidentMost = max(p.ResidentMost, mb(u.Resident))
+		phase.CPUMean += cpu / phase.Seconds / float64(len(after))
+		phase.CPUMax = max(phase.CPUMax, cpu/phase.Seconds)
+		phase.ResidentMean += megabytes(u.Resident) / float64(len(after))
+		phase.ResidentMax = max(phase.ResidentMax, megabytes(u.Resident))
 	}
-	return p, err
+	return phase, err
 }
 
-// usages is what each sidecar has used; none before the first start.
-func (f *fleet) usages() ([]Usage, error) {
+// usages returns the usage of each sidecar. It fails if one has not been started.
+func (f *fleetRun) usages() ([]Usage, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var all []Usage
-	for i, p := range f.programs {
+	var usages []Usage
+	for i, p := range f.processes {
 		if p == nil {
 			return nil, fmt.Errorf("rig: sidecar %d has not been started", i)
 		}
@@ -206,59 +208,60 @@
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, u)
+		usages = append(usages, u)
 	}
-	return all, nil
+	return usages, nil
 }
 
-// awaitAnswers waits until discovery has answered a call of every sidecar, and notes when that was.
-func (f *fleet) awaitAnswers(ctx context.Context, p *Phase, begin time.Time) error {
+// waitAnswers waits until discovery has answered every sidecar since the phase began, and records when the last one was
+// answered. A timeout is no error; p.Answered then shows how many were.
+func (f *fleetRun) waitAnswers(ctx context.Context, p *Phase, started time.Time) error {
 	var last time.Time
-	err := await(ctx, toldMost, func() bool {
-		p.Answered, last = f.discovery.answered()
+	err := waitUntil(ctx, maxAnswerWait, func() bool {
+		p.Answered, last = f.discovery.answeredSidecars()
 		return p.Answered == f.Sidecars
 	})
 	if err == nil {
-		p.Told = milliseconds(last.Sub(begin))
+		p.LastAnswer = milliseconds(last.Sub(started))
 	}
-	if errors.Is(err, errWaited) {
-		return nil // the phase says how many were
+	if errors.Is(err, errTimeout) {
+		return nil // p.Answered shows how many were answered
 	}
 	return err
 }
 
-// restart kills sidecars that run at once, starts them all again and waits until they are ready.
-func (f *fleet) restart(ctx context.Context, p *Phase, which []int) error {
-	for _, i := range which {
-		if old := f.programs[i]; old != nil {
+// restartSidecars kills those of the given sidecars that run, starts all of them at once and waits until they are ready.
+func (f *fleetRun) restartSidecars(ctx context.Context, p *Phase, sidecars []int) error {
+	for _, i := range sidecars {
+		if old := f.processes[i]; old != nil {
 			u, err := old.usage()
 			if err != nil {
 				return err
 			}
-			old.before.CPU = u.CPU
+			old.earlier.CPU = u.CPU
 		}
 	}
-	var olds []*program
-	for _, i := range which {
-		olds = append(olds, f.programs[i])
+	var running []*process
+	for _, i := range sidecars {
+		running = append(running, f.processes[i])
 	}
-	killAll(olds)
-	errs := make([]error, len(which))
+	killAll(running)
+	errs := make([]error, len(sidecars))
 	var starts sync.WaitGroup
-	for n, i := range which {
-		starts.Go(func() { errs[n] = f.start(ctx, i, !f.Pushed) })
+	for n, i := range sidecars {
+		starts.Go(func() { errs[n] = f.startSidecar(ctx, i, !f.PushLists) })
 	}
 	starts.Wait()
-	for _, err := range errs { // the first tells the cause
+	for _, err := range errs { // return the first one only
 		if err != nil {
 			return err
 		}
 	}
-	var ready []float64
-	for _, i := range which {
-		ready = append(ready, milliseconds(f.programs[i].ready))
+	var readyMs []float64
+	for _, i := range sidecars {
+		readyMs = append(readyMs, milliseconds(f.processes[i].readyAfter))
 	}
-	slices.Sort(ready)
-	p.Restarted, p.ReadyP50, p.ReadyMax = len(ready), ready[len(ready)/2], ready[len(ready)-1]
+	slices.Sort(readyMs)
+	p.Restarted, p.ReadyP50, p.ReadyMax = len(readyMs), readyMs[len(readyMs)/2], readyMs[len(readyMs)-1]
 	return nil
 }
--- a/internal/rig/load.go
+++ b/internal/rig/load.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	openMost   = 1000            // client calls at once; more wait, and their wait counts
-	dialClient = 2 * time.Second // of a client
-	idleClient = 1800 * time.Millisecond
-	bodyLen    = 212 // bytes of a call that has a body
-	latencyMax = 60 * time.Second
+	maxOpenCalls      = 1000 // calls in flight at once; further calls wait, and the wait counts as latency
+	clientDialTimeout = 2 * time.Second
+	clientIdleTimeout = 1800 * time.Millisecond
+	requestBodySize   = 212              // bytes, for calls with a body
+	maxLatency        = 60 * time.Second // upper end of the histogram
 )
 
-// Latency is the distribution of served calls in milliseconds, from the time at which a call was to be sent by the
-// schedule: calls that a slow answer holds up are counted with their wait (corrected for coordinated omission).
+// Latency is the latency distribution of served calls in milliseconds. Latency counts from the scheduled send time, so a
+// call that is held up by slow answers to earlier calls includes its wait (no coordinated omission).
 type Latency struct {
 	P50  float64 `json:"p50_ms"`
 	P99  float64 `json:"p99_ms"`
@@ -34,114 +34,118 @@
 	Max  float64 `json:"max_ms"`
 }
 
-// Calls is how calls on one way ended.
+// Calls counts how the calls on one route ended.
 type Calls struct {
 	Served      int64   `json:"served"`
 	Refused     int64   `json:"refused"`
-	Failed      int64   `json:"failed"` // by an answer, a broken connection, or none within 5 s
+	Failed      int64   `json:"failed"` // error status, broken connection, or no answer within 5 s
 	Connections int64   `json:"connections"`
 	Latency     Latency `json:"latency"`
 }
 
-// All is the number of calls.
-func (c Calls) All() int64 { return c.Served + c.Refused + c.Failed }
+// Total returns the number of calls.
+func (c Calls) Total() int64 { return c.Served + c.Refused + c.Failed }
 
-// way is one way for calls to go, with what was measured on it.
-type way struct {
-	addr      func() string // where the next call goes; called by the schedule alone
+// route is one path for calls, through a sidecar or direct, with what was measured on it.
+type route struct {
+	nextAddr  func() string // returns the address for the next call; called only by sendCalls
 	client    *http.Client
 	dials     atomic.Int64
 	mu        sync.Mutex
-	calls     Calls
-	histogram *hdrhistogram.Histogram
+	calls     Calls                   // guarded by mu; Connections and Latency are unset
+	histogram *hdrhistogram.Histogram // latency in microseconds, guarded by mu
 }
 
-func newWay(addr func() string) *way {
-	w := &way{addr: addr, histogram: hdrhistogram.New(1, latencyMax.Microseconds(), 3)}
-	dialer := net.Dialer{Timeout: dialClient}
-	w.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{
-		MaxIdleConnsPerHost: openMost, IdleConnTimeout: idleClient, DisableCompression: true,
+// newRoute returns a route with its own HTTP client.
+func newRoute(nextAddr func() string) *route {
+	r := &route{nextAddr: nextAddr, histogram: hdrhistogram.New(1, maxLatency.Microseconds(), 3)}
+	dialer := net.Dialer{Timeout: clientDialTimeout}
+	r.client = &http.Client{Timeout: callTimeout, Transport: &http.Transport{
+		MaxIdleConnsPerHost: maxOpenCalls, IdleConnTimeout: clientIdleTimeout, DisableCompression: true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			w.dials.Add(1)
+			r.dials.Add(1)
 			return dialer.DialContext(ctx, network, addr)
 		},
 	}}
-	return w
+	return r
 }
 
-// result is what was measured so far.
-func (w *way) result() Calls {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	c, ms := w.calls, func(q float64) float64 { return float64(w.histogram.ValueAtQuantile(q)) / 1000 }
-	c.Connections = w.dials.Load()
-	c.Latency = Latency{ms(50), ms(99), ms(99.9), float64(w.histogram.Max()) / 1000}
-	return c
+// results returns what was measured so far.
+func (r *route) results() Calls {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	calls, quantileMs := r.calls, func(q float64) float64 { return float64(r.histogram.ValueAtQuantile(q)) / 1000 }
+	calls.Connections = r.dials.Load()
+	calls.Latency = Latency{quantileMs(50), quantileMs(99), quantileMs(99.9), float64(r.histogram.Max()) / 1000}
+	return calls
 }
 
-func (w *way) close() { w.client.CloseIdleConnections() }
+// close closes the idle connections.
+func (r *route) close() { r.client.CloseIdleConnections() }
 
-// effects are the classes of the rig by the effect that a call has.
-var effects = map[string]string{"safe": "read", "keyed": "add", "unsafe": "pay"}
+// classByEffect maps the effect of a call to the class that the sidecars' settings give it.
+var classByEffect = map[string]string{"safe": "read", "keyed": "add", "unsafe": "pay"}
 
-// load sends calls open-loop: a Poisson process of so many calls a second, dealt out over the ways by chance, whatever
-// became of earlier ones. It waits for the last answer.
-func load(ctx context.Context, rate float64, d time.Duration, class string, seed uint64, ways ...*way) error {
-	if rate <= 0 || rate > 100000 || d <= 0 {
-		return fmt.Errorf("load: %v calls a second for %v", rate, d)
+// sendCalls sends calls for the given duration and waits for the last answer. The load is open-loop: calls form a Poisson
+// process of rate calls a second, independent of earlier answers, and each goes to a random route.
+func sendCalls(ctx context.Context, rate float64, duration time.Duration, class string, seed uint64, routes ...*route) error {
+	if rate <= 0 || rate > 100000 || duration <= 0 {
+		return fmt.Errorf("load: cannot send %v calls a second for %v", rate, duration)
 	}
 	random := rand.New(rand.NewPCG(seed, 0))
-	room := make(chan struct{}, openMost)
+	slots := make(chan struct{}, maxOpenCalls)
 	var calls sync.WaitGroup
 	defer calls.Wait()
-	begin := time.Now()
+	started := time.Now()
 	for at, n := time.Duration(0), 0; ; n++ {
 		at += time.Duration(random.ExpFloat64() / rate * float64(time.Second))
-		if at >= d {
-			return pause(ctx, time.Until(begin.Add(d)))
+		if at >= duration {
+			return sleep(ctx, time.Until(started.Add(duration)))
 		}
-		if err := pause(ctx, time.Until(begin.Add(at))); err != nil {
+		if err := sleep(ctx, time.Until(started.Add(at))); err != nil {
 			return err
 		}
-		w := ways[random.IntN(len(ways))]
-		addr, id := w.addr(), strconv.FormatUint(seed, 36)+"-"+strconv.Itoa(n)
+		route := routes[random.IntN(len(routes))]
+		addr, id := route.nextAddr(), strconv.FormatUint(seed, 36)+"-"+strconv.Itoa(n)
 		select {
-		case room <- struct{}{}:
+		case slots <- struct{}{}:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		calls.Go(func() {
-			defer func() { <-room }()
-			w.call(ctx, addr, class, id, begin.Add(at))
+			defer func() { <-slots }()
+			route.call(ctx, addr, class, id, started.Add(at))
 		})
 	}
 }
 
-// call makes one call and notes how it ended, counted from the time at which it was due.
-func (w *way) call(ctx context.Context, addr, class, id string, due time.Time) {
-	status, err := w.exchange(ctx, addr, class, id)
-	took := time.Since(due)
+// call makes one call and records how it ended, with its latency counted from due.
+func (r *route) call(ctx context.Context, addr, class, id string, due time.Time) {
+	status, err := r.roundTrip(ctx, addr, class, id)
+	latency := time.Since(due)
 	if ctx.Err() != nil {
-		return // nobody waits for it any more
+		return // the run has ended and the call is not counted
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch {
 	case err == nil && status == http.StatusOK:
-		w.calls.Served++
-		w.histogram.RecordValue(max(1, min(took, latencyMax).Microseconds()))
+		r.calls.Served++
+		r.histogram.RecordValue(max(1, min(latency, maxLatency).Microseconds()))
 	case err == nil && (status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests):
-		w.calls.Refused++
+		r.calls.Refused++
 	default:
-		w.calls.Failed++
+		r.calls.Failed++
 	}
 }
 
-var errBody = errors.New("the answer is not the endpoint's")
+var errWrongBody = errors.New("the body is not the endpoint's answer")
 
-func (w *way) exchange(ctx context.Context, addr, class, id string) (int, error) {
-	method, body := http.MethodPost, strings.Repeat("x", bodyLen)
-	if class == effects["safe"] {
+// roundTrip makes one call and returns the status of its answer. It fails if a status 200 comes with a body of the wrong
+// length.
+func (r *route) roundTrip(ctx context.Context, addr, class, id string) (int, error) {
+	method, body := http.MethodPost, strings.Repeat("x", requestBodySize)
+	if class == classByEffect["safe"] {
 		method, body = http.MethodGet, ""
 	}
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr+"/"+class+"/x", strings.NewReader(body))
@@ -149,23 +153,23 @@
 		return 0, err
 	}
 	req.Header = http.Header{"X-Request-Id": {id}, "X-Class": {class}, "X-Deadline": {"2.500"}}
-	if class == effects["keyed"] {
+	if class == classByEffect["keyed"] {
 		req.Header.Set("Idempotency-Key", id)
 	}
-	res, err := w.client.Do(req)
+	res, err := r.client.Do(req)
 	if err != nil {
 		return 0, err
 	}
 	defer res.Body.Close()
 	n, err := io.Copy(io.Discard, res.Body)
-	if err == nil && res.StatusCode == http.StatusOK && n != answerLen {
-		err = errBody
+	if err == nil && res.StatusCode == http.StatusOK && n != answerSize {
+		err = errWrongBody
 	}
 	return res.StatusCode, err
 }
 
-// rotate deals addresses out by chance, evenly.
-func rotate(seed uint64, n int, addr func(i int) string) func() string {
+// randomAddr returns a function that returns addr of a uniformly random number below n.
+func randomAddr(seed uint64, n int, addr func(i int) string) func() string {
 	random := rand.New(rand.NewPCG(seed, 1))
 	return func() string { return addr(random.IntN(n)) }
 }
--- a/internal/rig/process.go
+++ b/internal/rig/process.go
@@ -22,29 +22,29 @@
 )
 
 const (
-	memoryMB = 192  // limit that a sidecar is told
-	sockets  = 4096 // descriptors that it is told
-	askEvery = 10 * time.Second
+	memoryLimitMB       = 192  // memory limit in a sidecar's configuration
+	socketLimit         = 4096 // descriptor limit in a sidecar's configuration
+	defaultPollInterval = 10 * time.Second
 )
 
-// program is one sidecar process. It is ended by its own handle, or dies with this process.
-type program struct {
-	name   string
-	cmd    *exec.Cmd
-	addr   string // where clients connect
-	begun  time.Time
-	ready  time.Duration // from its start to the first 200 of /-/ready
-	exited chan struct{}
-	err    error // once exited is closed
-	before Usage // what earlier processes of this sidecar used
-	stop   sync.Once
+// process is one sidecar process. It is killed through its own handle, or by the kernel when this process ends.
+type process struct {
+	name       string
+	cmd        *exec.Cmd
+	addr       string // address for clients
+	started    time.Time
+	readyAfter time.Duration // time from its start to the first status 200 of /-/ready
+	exited     chan struct{} // closed when the process has ended
+	exitErr    error         // valid once exited is closed
+	earlier    Usage         // usage of earlier processes of this sidecar
+	killOnce   sync.Once
 }
 
-// settings are what a sidecar of the rig is told; asked says whether it asks for lists or has them pushed.
-func settings(copies, rank int, asked bool, askEvery time.Duration) map[string]any {
-	membership := "pushed"
-	if asked {
-		membership = "on_request"
+// sidecarSettings returns the settings of a sidecar, which polls for its list with pollList and otherwise has it pushed.
+func sidecarSettings(copies, rank int, pollList bool, pollInterval time.Duration) map[string]any {
+	membershipMode := "pushed"
+	if pollList {
+		membershipMode = "on_request"
 	}
 	class := func(name, effect string) map[string]any {
 		return map[string]any{
@@ -53,29 +53,32 @@
 	}
 	return map[string]any{
 		"balancers": copies, "rank": rank, "stages": []string{"a"}, "zones": []string{"z"}, "kinds": []string{"k"},
-		"membershipMode": membership,
+		"membershipMode": membershipMode,
 		"limits":         map[string]any{"maxAttempts": 3, "cancel": true, "connectTimeout": 250, "connIdle": 10000, "retryAfter": true},
-		"safety":         map[string]any{"answerSlack": 20, "drainGrace": 500, "coldFrom": 0.3, "rampTime": 8000, "askEvery": milliseconds(askEvery)},
-		"classes":        []any{class("read", "read_like"), class("add", "idempotency_key"), class("pay", "non_idempotent")},
+		"safety": map[string]any{
+			"answerSlack": 20, "drainGrace": 500, "coldFrom": 0.3, "rampTime": 8000, "askEvery": milliseconds(pollInterval),
+		},
+		"classes": []any{class("read", "read_like"), class("add", "idempotency_key"), class("pay", "non_idempotent")},
 	}
 }
 
-// start writes a configuration into dir and starts a sidecar on it, which holds the list known. The process ends with ctx.
-func start(ctx context.Context, binary, dir, name, discovery string, known sidecar.List,
-	seed uint64, set map[string]any) (*program, error) {
-	text, err := json.Marshal(map[string]any{
-		"name": name, "listen": host, "discovery": discovery, "seed": strconv.FormatUint(seed, 16),
-		"limits":   map[string]any{"cores": 1, "memory_mb": memoryMB, "sockets": sockets},
-		"settings": set, "known": known,
+// startProcess writes a configuration file into dir and starts a sidecar with it, which begins with initialList. The
+// process is killed when ctx ends.
+func startProcess(ctx context.Context, binary, dir, name, discoveryAddr string, initialList sidecar.List,
+	seed uint64, settings map[string]any) (*process, error) {
+	config, err := json.Marshal(map[string]any{
+		"name": name, "listen": listenAddr, "discovery": discoveryAddr, "seed": strconv.FormatUint(seed, 16),
+		"limits":   map[string]any{"cores": 1, "memory_mb": memoryLimitMB, "sockets": socketLimit},
+		"settings": settings, "known": initialList,
 	})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	path := filepath.Join(dir, name+".json")
-	if err := os.WriteFile(path, text, 0o600); err != nil {
+	if err := os.WriteFile(path, config, 0o600); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	p := &program{name: name, exited: make(chan struct{}), begun: time.Now()}
+	p := &process{name: name, exited: make(chan struct{}), started: time.Now()}
 	p.cmd = exec.CommandContext(ctx, binary)
 	p.cmd.Env = []string{"RELAY_CONFIG=" + path, "TMPDIR=" + dir}
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
@@ -91,51 +94,52 @@
 		r.Close()
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
-	told := make(chan string, 1)
-	go p.follow(r, told)
+	serving := make(chan string, 1)
+	go p.readLog(r, serving)
 	select {
-	case p.addr = <-told:
+	case p.addr = <-serving:
 		return p, nil
 	case <-p.exited:
-		return nil, fmt.Errorf("%s ended at its start: %w", name, p.err)
-	case <-time.After(startTime):
+		return nil, fmt.Errorf("%s ended while starting: %w", name, p.exitErr)
+	case <-time.After(startTimeout):
 		p.kill()
-		return nil, fmt.Errorf("%s says no address: %w", name, errWaited)
+		return nil, fmt.Errorf("%s did not log its address: %w", name, errTimeout)
 	case <-ctx.Done():
 		p.kill()
 		return nil, ctx.Err()
 	}
 }
 
-var serving = regexp.MustCompile(`serving.* listen=(\S+)`)
+// servingLine matches the log line with a sidecar's address.
+var servingLine = regexp.MustCompile(`serving.* listen=(\S+)`)
 
-// follow reads the log to its end, and then waits for the process.
-func (p *program) follow(r io.ReadCloser, told chan<- string) {
+// readLog reads the log to its end, sends the address in it to serving, and then waits for the process to end.
+func (p *process) readLog(r io.ReadCloser, serving chan<- string) {
 	defer close(p.exited)
 	defer r.Close()
-	lines, last := bufio.NewScanner(r), ""
+	lines, lastLine := bufio.NewScanner(r), ""
 	lines.Buffer(make([]byte, 4096), 1<<20)
 	for lines.Scan() {
-		last = lines.Text()
-		if m := serving.FindStringSubmatch(last); m != nil {
+		lastLine = lines.Text()
+		if m := servingLine.FindStringSubmatch(lastLine); m != nil {
 			select {
-			case told <- m[1]:
+			case serving <- m[1]:
 			default:
 			}
 		}
 	}
-	io.Copy(io.Discard, r) // behind a line that is too long
+	io.Copy(io.Discard, r) // drains the log after a line that is too long to scan
 	if err := p.cmd.Wait(); err != nil {
-		p.err = fmt.Errorf("%w: %s", err, last)
+		p.exitErr = fmt.Errorf("%w: %s", err, lastLine)
 	} else {
-		p.err = errors.New("it ended by itself: " + last)
+		p.exitErr = errors.New("it exited with status 0: " + lastLine)
 	}
 }
 
-// awaitReady polls until the sidecar says that it is ready, and notes how long that took from its start.
-func (p *program) awaitReady(ctx context.Context) error {
+// waitReady polls until the sidecar reports that it is ready, and records the time since its start.
+func (p *process) waitReady(ctx context.Context) error {
 	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	err := await(ctx, startTime, func() bool {
+	err := waitUntil(ctx, startTimeout, func() bool {
 		select {
 		case <-p.exited:
 			return true
@@ -152,10 +156,10 @@
 		res.Body.Close()
 		return res.StatusCode == http.StatusOK
 	})
-	p.ready = time.Since(p.begun)
+	p.readyAfter = time.Since(p.started)
 	select {
 	case <-p.exited:
-		return fmt.Errorf("%s ended: %w", p.name, p.err)
+		return fmt.Errorf("%s ended: %w", p.name, p.exitErr)
 	default:
 	}
 	if err != nil {
@@ -164,39 +168,40 @@
 	return nil
 }
 
-// usage is what the process has used, with all that earlier ones of this sidecar had.
-func (p *program) usage() (Usage, error) {
+// usage returns the usage of the process. Its processor time includes that of earlier processes of this sidecar.
+func (p *process) usage() (Usage, error) {
 	select {
 	case <-p.exited:
-		return Usage{}, fmt.Errorf("%s ended: %w", p.name, p.err)
+		return Usage{}, fmt.Errorf("%s ended: %w", p.name, p.exitErr)
 	default:
 	}
-	u, err := usage(p.cmd.Process.Pid)
-	u.CPU += p.before.CPU
+	u, err := readUsage(p.cmd.Process.Pid)
+	u.CPU += p.earlier.CPU
 	return u, err
 }
 
-// kill ends the process and waits until it has ended.
-func (p *program) kill() {
-	p.stop.Do(func() { p.cmd.Process.Kill() })
+// kill kills the process and waits until it has ended.
+func (p *process) kill() {
+	p.killOnce.Do(func() { p.cmd.Process.Kill() })
 	<-p.exited
 }
 
-// killAll ends them all.
-func killAll(all []*program) {
-	for _, p := range all {
+// killAll kills all processes that are not nil and waits until they have ended.
+func killAll(processes []*process) {
+	for _, p := range processes {
 		if p != nil {
-			p.stop.Do(func() { p.cmd.Process.Kill() })
+			p.killOnce.Do(func() { p.cmd.Process.Kill() })
 		}
 	}
-	for _, p := range all {
+	for _, p := range processes {
 		if p != nil {
 			<-p.exited
 		}
 	}
 }
 
-// Build compiles the sidecar of this source tree into dir, as the deploy file does but for the linker's mode.
+// Build compiles the sidecar of this source tree into dir and returns its path. It builds as the deployment does, except
+// for the link mode.
 func Build(ctx context.Context, dir string) (string, error) {
 	binary := filepath.Join(dir, "forkline")
 	cmd := exec.CommandContext(ctx, "go", "build", "-o", binary, "forkline/cmd/forkline")
--- a/internal/rig/rig.go
+++ b/internal/rig/rig.go
@@ -1,5 +1,5 @@
-// Package rig measures real sidecar processes on loopback, between stand-ins that it has itself: a discovery, endpoints
-// and clients. What it tells of discovery or of endpoints is told of these stand-ins.
+// Package rig measures real sidecar processes on loopback. It supplies the stand-ins around them: a discovery service,
+// endpoints and clients. Figures about discovery or endpoints describe these stand-ins only.
 package rig
 
 import (
@@ -14,37 +14,38 @@
 )
 
 const (
-	// MaxProcesses is the most sidecars that a rig starts: past that, figures are extrapolated.
-	MaxProcesses = 300
-	// MaxListeners is the most stand-in endpoints with an address of their own; longer lists use addresses again.
-	MaxListeners = 300
+	// MaxSidecars is the largest number of sidecar processes started; figures for more are extrapolated.
+	MaxSidecars = 300
+	// MaxEndpointAddrs is the largest number of stand-in endpoints with their own address; longer lists reuse addresses.
+	MaxEndpointAddrs = 300
 
-	host        = "127.0.0.1:0"
-	sidecarRoom = 48 << 20               // bytes of memory that a sidecar is taken to need at most
-	startTime   = 60 * time.Second       // longest wait for a sidecar to be ready, on a busy machine
-	pollTime    = 10 * time.Millisecond  // between two looks at what a rig waits for
-	callTimeout = 5 * time.Second        // of a client's call
-	warmTime    = 3 * time.Second        // of calls before those that are measured
-	settleTime  = 500 * time.Millisecond // between a change of what is measured and its first figure
+	listenAddr    = "127.0.0.1:0"
+	sidecarMemory = 48 << 20               // bytes of memory that one sidecar is assumed to need at most
+	startTimeout  = 60 * time.Second       // longest wait for a process to be ready; generous, for a busy machine
+	checkInterval = 10 * time.Millisecond  // between two checks of an awaited condition
+	callTimeout   = 5 * time.Second        // timeout of a client's call
+	warmupTime    = 3 * time.Second        // of calls before the measured ones
+	settleDelay   = 500 * time.Millisecond // between a change of the load and the first measurement under it
 )
 
-// Usage is what a process has used since its start.
+// Usage holds the resources that a process uses.
 type Usage struct {
-	CPU      time.Duration // processor time in user and kernel mode
-	Resident int64         // bytes of memory now
-	Peak     int64         // most of it so far
-	Sockets  int           // open descriptors
+	CPU         time.Duration // user and kernel time since the start of the process
+	Resident    int64         // resident memory in bytes
+	Peak        int64         // highest resident memory so far, in bytes
+	Descriptors int           // open file descriptors
 }
 
-// usage reads /proc of a process of ours. Processor time counts to 20 ms, or finer where the kernel tells it by threads.
-func usage(pid int) (Usage, error) {
+// readUsage reads the usage of a process from /proc. Processor time is accurate to 20 ms, or better if the kernel reports
+// the run time of each thread.
+func readUsage(pid int) (Usage, error) {
 	var u Usage
 	dir := "/proc/" + strconv.Itoa(pid)
 	text, err := os.ReadFile(dir + "/stat")
 	if err != nil {
 		return u, fmt.Errorf("usage: %w", err)
 	}
-	_, rest, _ := strings.Cut(string(text), ") ") // the name before may hold blanks
+	_, rest, _ := strings.Cut(string(text), ") ") // the process name before it may contain spaces
 	fields := strings.Fields(rest)
 	if len(fields) < 13 {
 		return u, fmt.Errorf("usage: %s/stat has %d fields", dir, len(fields))
@@ -56,8 +57,8 @@
 		}
 		u.CPU += time.Duration(ticks) * 10 * time.Millisecond
 	}
-	if precise, err := scheduled(dir); err == nil {
-		u.CPU = max(u.CPU, precise) // both leave something out
+	if threadTime, err := threadRunTime(dir); err == nil {
+		u.CPU = max(u.CPU, threadTime) // each may miss some time
 	}
 	if text, err = os.ReadFile(dir + "/status"); err != nil {
 		return u, fmt.Errorf("usage: %w", err)
@@ -73,12 +74,13 @@
 		}
 	}
 	files, err := os.ReadDir(dir + "/fd")
-	u.Sockets = len(files)
+	u.Descriptors = len(files)
 	return u, err
 }
 
-// scheduled is the time that the threads of a process have run, to the nanosecond. Threads that have ended are left out.
-func scheduled(dir string) (time.Duration, error) {
+// threadRunTime returns the time that the threads of a process have run, to the nanosecond. It misses threads that have
+// ended.
+func threadRunTime(dir string) (time.Duration, error) {
 	threads, err := os.ReadDir(dir + "/task")
 	if err != nil {
 		return 0, err
@@ -89,8 +91,8 @@
 		if err != nil {
 			return 0, err
 		}
-		first, _, _ := strings.Cut(string(text), " ")
-		ns, err := strconv.ParseInt(first, 10, 64)
+		runTime, _, _ := strings.Cut(string(text), " ")
+		ns, err := strconv.ParseInt(runTime, 10, 64)
 		if err != nil {
 			return 0, err
 		}
@@ -99,29 +101,30 @@
 	return total, nil
 }
 
-// Machine is what else the machine did while something was measured.
+// Machine describes the load on the machine during a measurement.
 type Machine struct {
 	Cores       int       `json:"cores"`
-	LoadBefore  float64   `json:"load_before"` // processes that ran or waited to, mean of a minute
+	LoadBefore  float64   `json:"load_before"` // mean number of running or runnable processes in the last minute
 	LoadAfter   float64   `json:"load_after"`
 	Start       time.Time `json:"start"`
 	RealSeconds float64   `json:"real_s"`
 }
 
-// Observe begins to note what the machine does; the function that it returns tells it.
-func Observe() func() Machine {
+// ObserveMachine records the machine's state at the start of a measurement. The function that it returns completes the
+// record at the end.
+func ObserveMachine() func() Machine {
 	m := Machine{Cores: runtime.NumCPU(), Start: time.Now().Truncate(time.Second)}
-	begin := time.Now()
-	m.LoadBefore, _ = Load()
+	started := time.Now()
+	m.LoadBefore, _ = LoadAverage()
 	return func() Machine {
-		m.LoadAfter, _ = Load()
-		m.RealSeconds = time.Since(begin).Seconds()
+		m.LoadAfter, _ = LoadAverage()
+		m.RealSeconds = time.Since(started).Seconds()
 		return m
 	}
 }
 
-// Load is the machine's load now: processes that run or wait to, mean of a minute.
-func Load() (float64, error) {
+// LoadAverage returns the mean number of running or runnable processes in the last minute.
+func LoadAverage() (float64, error) {
 	text, err := os.ReadFile("/proc/loadavg")
 	if err != nil {
 		return 0, fmt.Errorf("load: %w", err)
@@ -130,10 +133,11 @@
 	return strconv.ParseFloat(first, 64)
 }
 
-// enough tells whether the machine has room for so many sidecars in half of its memory.
-func enough(processes int) error {
-	if processes < 1 || processes > MaxProcesses {
-		return fmt.Errorf("rig: %d sidecars; 1 to %d are started", processes, MaxProcesses)
+// checkMemory returns an error if the number of sidecars is out of range, or if they may need more than half of the
+// available memory.
+func checkMemory(sidecars int) error {
+	if sidecars < 1 || sidecars > MaxSidecars {
+		return fmt.Errorf("rig: %d sidecars; the number must be from 1 to %d", sidecars, MaxSidecars)
 	}
 	text, err := os.ReadFile("/proc/meminfo")
 	if err != nil {
@@ -142,16 +146,16 @@
 	for line := range strings.Lines(string(text)) {
 		if name, value, _ := strings.Cut(line, ":"); name == "MemAvailable" {
 			kb, err := strconv.ParseInt(strings.TrimSuffix(strings.TrimSpace(value), " kB"), 10, 64)
-			if err == nil && int64(processes)*sidecarRoom > kb<<10/2 {
-				return fmt.Errorf("rig: %d sidecars may need over half of the %d MB that are free", processes, kb>>10)
+			if err == nil && int64(sidecars)*sidecarMemory > kb<<10/2 {
+				return fmt.Errorf("rig: %d sidecars may need more than half of the %d MB of available memory", sidecars, kb>>10)
 			}
 		}
 	}
 	return nil
 }
 
-// pause waits for so long, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for d, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -162,15 +166,15 @@
 	}
 }
 
-var errWaited = errors.New("waited for too long")
+var errTimeout = errors.New("timed out")
 
-// await polls until f holds.
-func await(ctx context.Context, most time.Duration, f func() bool) error {
-	for end := time.Now().Add(most); !f(); {
-		if time.Now().After(end) {
-			return errWaited
+// waitUntil polls until done returns true, for at most timeout.
+func waitUntil(ctx context.Context, timeout time.Duration, done func() bool) error {
+	for deadline := time.Now().Add(timeout); !done(); {
+		if time.Now().After(deadline) {
+			return errTimeout
 		}
-		if err := pause(ctx, pollTime); err != nil {
+		if err := sleep(ctx, checkInterval); err != nil {
 			return err
 		}
 	}
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -16,9 +16,9 @@
 	"time"
 )
 
-const long = time.Minute // no test that passes waits for so long
+const testTimeout = time.Minute // longer than any wait of a passing test
 
-// The test binary is the stand-in discovery's process as well.
+// TestMain also runs the stand-in discovery, as the tests start their own binary for its process.
 func TestMain(m *testing.M) {
 	if len(os.Args) == 3 && os.Args[1] == "stand-in" {
 		n, _ := strconv.Atoi(os.Args[2])
@@ -28,48 +28,48 @@
 		return
 	}
 	code := m.Run()
-	if built != "" {
-		os.RemoveAll(built)
+	if buildDir != "" {
+		os.RemoveAll(buildDir)
 	}
 	os.Exit(code)
 }
 
-var built string // folder of the program
+var buildDir string // directory of the sidecar binary; empty if it was not built
 
-// binary builds the sidecar once for all tests.
-var binary = sync.OnceValues(func() (string, error) {
+// buildBinary builds the sidecar once for all tests and returns its path.
+var buildBinary = sync.OnceValues(func() (string, error) {
 	var err error
-	if built, err = os.MkdirTemp("", "rig"); err != nil {
+	if buildDir, err = os.MkdirTemp("", "rig"); err != nil {
 		return "", err
 	}
-	return Build(context.Background(), built)
+	return Build(context.Background(), buildDir)
 })
 
-// running is a bench of so many sidecars that are ready, with pushed lists of three endpoints.
-func running(ctx context.Context, t *testing.T, sidecars int) *bench {
+// newRunningTestbed returns a testbed with the given number of ready sidecars and pushed lists of three endpoints.
+func newRunningTestbed(ctx context.Context, t *testing.T, sidecars int) *testbed {
 	t.Helper()
-	program, err := binary()
+	program, err := buildBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := newBench(ctx, program, sidecars, 3, 0)
+	b, err := newTestbed(ctx, program, sidecars, 3, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(b.close)
 	for i := range sidecars {
-		if err := b.start(ctx, i, false); err != nil {
+		if err := b.startSidecar(ctx, i, false); err != nil {
 			t.Fatal(err)
 		}
 	}
 	return b
 }
 
-// served makes calls until one is served; on a busy machine a first one may come too late.
-func served(ctx context.Context, t *testing.T, w *way, addr, class string) {
+// callUntilServed makes calls until one is served. On a busy machine the first may time out.
+func callUntilServed(ctx context.Context, t *testing.T, w *route, addr, class string) {
 	t.Helper()
 	for i := 0; ; i++ {
-		status, err := w.exchange(ctx, addr, class, class+addr+strconv.Itoa(i))
+		status, err := w.roundTrip(ctx, addr, class, class+addr+strconv.Itoa(i))
 		if status == http.StatusOK && err == nil {
 			return
 		}
@@ -79,66 +79,66 @@
 	}
 }
 
-// Calls of each effect come through real sidecars to the stand-in endpoints, and what the sidecars used is told.
-func TestCallsComeThroughRealSidecars(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+// Calls of each effect go through real sidecars to the stand-in endpoints, and the usage of the sidecars is reported.
+func TestCallsGoThroughRealSidecars(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	b := running(ctx, t, 2)
-	w := newWay(nil)
+	b := newRunningTestbed(ctx, t, 2)
+	w := newRoute(nil)
 	defer w.close()
 	for i := range 2 {
-		for _, class := range effects {
-			served(ctx, t, w, b.addr(i), class)
+		for _, class := range classByEffect {
+			callUntilServed(ctx, t, w, b.addr(i), class)
 		}
-		u, err := b.programs[i].usage()
-		if err != nil || u.CPU <= 0 || u.Resident < 1<<20 || u.Peak < u.Resident || u.Sockets < 3 {
-			t.Errorf("usage %+v, %v", u, err)
+		u, err := b.processes[i].usage()
+		if err != nil || u.CPU <= 0 || u.Resident < 1<<20 || u.Peak < u.Resident || u.Descriptors < 3 {
+			t.Errorf("usage %+v, error %v", u, err)
 		}
 	}
 	if n := b.endpoints.calls.Load(); n < 6 {
-		t.Errorf("the endpoints saw %d calls", n)
+		t.Errorf("the endpoints received %d calls, want at least 6", n)
 	}
-	if got := b.discovery.Traffic(); got.Calls < 2 || got.Wrote == 0 || got.Received == 0 {
-		t.Errorf("the discovery saw %+v", got)
+	if got := b.discovery.Traffic(); got.Calls < 2 || got.Sent == 0 || got.Received == 0 {
+		t.Errorf("discovery traffic %+v", got)
 	}
 }
 
-// All children end with their context, however it ends, and none is left behind.
+// All sidecar processes end when their context does, and the working directory is removed.
 func TestChildrenEndWithTheirContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	b := running(ctx, t, 2)
+	b := newRunningTestbed(ctx, t, 2)
 	cancel()
-	for _, p := range b.programs {
+	for _, p := range b.processes {
 		select {
 		case <-p.exited:
-		case <-time.After(long):
-			t.Fatalf("%s runs on", p.name)
+		case <-time.After(testTimeout):
+			t.Fatalf("%s is still running", p.name)
 		}
 		if err := p.cmd.Process.Signal(os.Interrupt); !errors.Is(err, os.ErrProcessDone) {
-			t.Errorf("%s: %v", p.name, err)
+			t.Errorf("%s: signal: %v, want os.ErrProcessDone", p.name, err)
 		}
 		if _, err := p.usage(); err == nil {
-			t.Errorf("%s has ended and still tells what it uses", p.name)
+			t.Errorf("%s has ended, but its usage is no error", p.name)
 		}
 	}
 	b.close()
 	if _, err := os.Stat(b.dir); !os.IsNotExist(err) {
-		t.Errorf("its folder is left: %v", err)
+		t.Errorf("the working directory still exists: %v", err)
 	}
 }
 
-// A fleet is away from discovery and back, and some of it restarts; every phase is measured.
-func TestFleetPlaysOutagesAndRestarts(t *testing.T) {
-	program, err := binary()
+// A fleet goes through an outage of discovery, and some of it restarts. Every phase is measured.
+func TestFleetMeasuresOutagesAndRestarts(t *testing.T) {
+	program, err := buildBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), 2*long)
+	ctx, cancel := context.WithTimeout(context.Background(), 2*testTimeout)
 	defer cancel()
 	r, err := Fleet{
-		Binary: program, Sidecars: 2, Endpoints: 3, Pushed: true, Rate: 20, Outages: []Outage{Refusing},
-		Rest: 100 * time.Millisecond, Away: 100 * time.Millisecond, Killed: 0.5,
+		Binary: program, Sidecars: 2, Endpoints: 3, PushLists: true, Rate: 20, Outages: []Outage{Unavailable},
+		RestTime: 100 * time.Millisecond, OutageTime: 100 * time.Millisecond, KilledShare: 0.5,
 	}.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
@@ -146,48 +146,48 @@
 	var names []string
 	for _, p := range r.Phases {
 		names = append(names, p.Name)
-		if !(p.Seconds > 0) || p.CPU < 0 || p.CPUMost < p.CPU || !(p.ResidentMB > 1) || p.ResidentMost < p.ResidentMB {
+		if !(p.Seconds > 0) || p.CPUMean < 0 || p.CPUMax < p.CPUMean || !(p.ResidentMean > 1) || p.ResidentMax < p.ResidentMean {
 			t.Errorf("phase %+v", p)
 		}
 		back := p.Name == "start" || strings.HasPrefix(p.Name, "back")
-		if back && (p.Answered != 2 || p.Told < 0) {
-			t.Errorf("%s: %d answered, the last after %v ms", p.Name, p.Answered, p.Told)
+		if back && (p.Answered != 2 || p.LastAnswer < 0) {
+			t.Errorf("%s: %d sidecars answered, the last after %v ms, want 2", p.Name, p.Answered, p.LastAnswer)
 		}
 	}
 	if got := strings.Join(names, ", "); got != "start, at rest, away: 503, back: 503, restart wave" {
 		t.Errorf("phases %s", got)
 	}
 	if last := r.Phases[len(r.Phases)-1]; last.Restarted != 1 || !(last.ReadyP50 > 0) || last.ReadyMax < last.ReadyP50 {
-		t.Errorf("restart %+v", last)
+		t.Errorf("phase with restarts: %+v", last)
 	}
 }
 
-// A sidecar that does not start is told with what it said.
-func TestASidecarThatDoesNotStartIsAnError(t *testing.T) {
-	program, err := binary()
+// The error of a sidecar that fails to start contains the reason that it logged.
+func TestSidecarThatFailsToStartIsAnError(t *testing.T) {
+	program, err := buildBinary()
 	if err != nil {
 		t.Fatal(err)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	b, err := newBench(ctx, program, 1, 3, 0)
+	b, err := newTestbed(ctx, program, 1, 3, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer b.close()
-	set := settings(1, 0, true, askEvery)
+	set := sidecarSettings(1, 0, true, defaultPollInterval)
 	set["classes"] = nil
-	_, err = start(ctx, b.binary, b.dir, "n0", b.discovery.Addr(0), b.discovery.List(), b.seed(), set)
+	_, err = startProcess(ctx, b.binary, b.dir, "n0", b.discovery.Addr(0), b.discovery.List(), b.nextSeed(), set)
 	if err == nil || !strings.Contains(err.Error(), "Classes is empty") {
-		t.Errorf("error %v", err)
+		t.Errorf("error %v, want the reason for the failure", err)
 	}
 }
 
-// Sidecars of one seed would ask and come back in step, and their fleet would tell nothing.
-func TestEachStartHasASeedOfItsOwn(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+// Sidecars with equal seeds would poll and reconnect in step, and measurements of their fleet would mean nothing.
+func TestEachStartHasANewSeed(t *testing.T) {
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	b := running(ctx, t, 2)
+	b := newRunningTestbed(ctx, t, 2)
 	seeds := map[string]bool{}
 	for i := range 2 {
 		for range 2 {
@@ -197,90 +197,93 @@
 			}
 			var cfg struct{ Seed string }
 			if err := json.Unmarshal(text, &cfg); err != nil || cfg.Seed == "" || seeds[cfg.Seed] {
-				t.Errorf("sidecar %d starts with the seed %q after %v, %v", i, cfg.Seed, seeds, err)
+				t.Errorf("sidecar %d starts with the seed %q, earlier seeds %v, error %v", i, cfg.Seed, seeds, err)
 			}
 			seeds[cfg.Seed] = true
-			b.programs[i].kill()
-			if err := b.start(ctx, i, false); err != nil {
+			b.processes[i].kill()
+			if err := b.startSidecar(ctx, i, false); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 }
 
-func TestLimitsAreKept(t *testing.T) {
-	for _, n := range []int{0, MaxProcesses + 1} {
-		if err := enough(n); err == nil {
-			t.Errorf("%d sidecars were let through", n)
+func TestLimitsAreEnforced(t *testing.T) {
+	for _, n := range []int{0, MaxSidecars + 1} {
+		if err := checkMemory(n); err == nil {
+			t.Errorf("no error for %d sidecars", n)
 		}
 		if _, err := NewEndpoints(n, 0); err == nil {
-			t.Errorf("%d endpoints were started", n)
+			t.Errorf("no error for %d endpoints", n)
 		}
 	}
-	if err := load(context.Background(), -1, time.Second, "read", 1); err == nil {
-		t.Error("a negative rate was let through")
+	if err := sendCalls(context.Background(), -1, time.Second, "read", 1); err == nil {
+		t.Error("no error for a negative rate")
 	}
 }
 
-// The stand-in discovery as a process of its own: all its series have a figure for each size, and bytes are exact.
+// The stand-in discovery runs in a separate process. Each of its series has a figure for each size, and full lists of 20
+// entries have 9 to 10 times the bytes of lists of 2.
 func TestDiscoveryCostsAreMeasured(t *testing.T) {
-	ctx, cancel := context.WithTimeout(context.Background(), long)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	r, err := DiscoveryCost{
-		Command: []string{os.Args[0], "stand-in"}, For: 100 * time.Millisecond, Watches: []int{1, 3}, Changes: 6000, Lists: []int{2, 20},
+		Command: []string{os.Args[0], "stand-in"}, Duration: 100 * time.Millisecond, Watches: []int{1, 3},
+		ChangesPerMinute: 6000, ListLengths: []int{2, 20},
 	}.Run(ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, s := range r.Series {
 		if len(s.Points) != 2 {
-			t.Errorf("%s: %v", s.Name, s.Points)
+			t.Errorf("%s: points %v, want 2", s.Name, s.Points)
 		}
 	}
 	if bytes := r.Series[4].Points; bytes[1].Y < 9*bytes[0].Y || bytes[1].Y > 10*bytes[0].Y {
-		t.Errorf("whole lists of 2 and 20 entries have %v bytes", bytes)
+		t.Errorf("full lists of 2 and 20 entries have %v bytes", bytes)
 	}
 	if _, err := (DiscoveryCost{Command: []string{"/nowhere"}}).Run(ctx); err == nil {
-		t.Error("a command that is not there was run")
+		t.Error("no error for a command that does not exist")
 	}
 }
 
-// A call that a held-up schedule sends late counts from when it was due, not from when it went out.
+// The latency of a call that is sent late counts from its scheduled time, not from when it was sent. Otherwise slow
+// answers that hold up later calls would be undercounted.
 func TestLatencyCountsFromTheSchedule(t *testing.T) {
 	e, err := NewEndpoints(1, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer e.Close()
-	w := newWay(nil)
+	w := newRoute(nil)
 	defer w.close()
 	w.call(context.Background(), e.Addr(0), "read", "1", time.Now().Add(-3*time.Second))
-	if c := w.result(); c.Served != 1 || c.Latency.P50 < 2990 || c.Latency.Max < 2990 || c.Connections != 1 {
-		t.Errorf("%+v", c)
+	if c := w.results(); c.Served != 1 || c.Latency.P50 < 2990 || c.Latency.Max < 2990 || c.Connections != 1 {
+		t.Errorf("calls %+v, want one with a latency of at least 2990 ms", c)
 	}
 }
 
-// Every call that the schedule sends ends in one count, on one way or the other; what was served, an endpoint saw.
+// Every call is counted on one of the two routes, and endpoints have received at least the served ones.
 func TestEveryCallIsCounted(t *testing.T) {
 	e, err := NewEndpoints(2, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer e.Close()
-	a, b := newWay(rotate(1, 2, e.Addr)), newWay(rotate(2, 2, e.Addr))
+	a, b := newRoute(randomAddr(1, 2, e.Addr)), newRoute(randomAddr(2, 2, e.Addr))
 	defer a.close()
 	defer b.close()
-	if err := load(context.Background(), 1000, 100*time.Millisecond, "pay", 7, a, b); err != nil {
+	if err := sendCalls(context.Background(), 1000, 100*time.Millisecond, "pay", 7, a, b); err != nil {
 		t.Fatal(err)
 	}
-	x, y := a.result(), b.result()
-	if x.All() == 0 || y.All() == 0 || x.Served+y.Served > e.calls.Load() || x.All()+y.All() < 50 {
-		t.Errorf("%+v and %+v of %d", x, y, e.calls.Load())
+	x, y := a.results(), b.results()
+	if x.Total() == 0 || y.Total() == 0 || x.Served+y.Served > e.calls.Load() || x.Total()+y.Total() < 50 {
+		t.Errorf("calls %+v and %+v, %d received by endpoints", x, y, e.calls.Load())
 	}
 }
 
-// Endpoints keep the protocol: a request with no id is unknown, and entries past the last address use them again.
-func TestEndpointsKeepTheProtocol(t *testing.T) {
+// A request without an id gets status 404, and list entries past the last address reuse the addresses.
+func TestEndpointsFollowTheProtocol(t *testing.T) {
 	e, err := NewEndpoints(2, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -293,7 +296,7 @@
 	io.Copy(io.Discard, res.Body)
 	res.Body.Close()
 	if res.StatusCode != http.StatusNotFound || e.calls.Load() != 0 {
-		t.Errorf("%s with no id", res.Status)
+		t.Errorf("%s for a request without an id, want 404", res.Status)
 	}
 	list := e.Targets(5)
 	if len(list) != 5 || list[4].Endpoint != list[0].Endpoint || list[4].UID == list[0].UID || list[1].Endpoint == list[0].Endpoint {
