--- a/internal/rig/change.go
+++ b/internal/rig/change.go
@@ -38,7 +38,7 @@
 	Applied        int     `json:"in_force"`  // number of sidecars in which the change took effect within Timeout
 	P50            float64 `json:"p50_ms"`    // ms until it took effect in half of those sidecars
 	Last           float64 `json:"last_ms"`   // ms until it took effect in the last of them
-	CPUPerSidecar  float64 `json:"cpu_ms"`    // ms of processor time for the change and its checks, without calls; 0 = not measured
+	CPUPerSidecar  float64 `json:"cpu_ms"`    // mean ms of processor time for the change and its checks, without calls; 0 = not measured
 	Before         Calls   `json:"before"`    // calls before the change
 	During         Calls   `json:"meanwhile"` // calls from the first file until changeMargin after the change
 }
--- a/internal/rig/discovery_test.go
+++ b/internal/rig/discovery_test.go
@@ -96,7 +96,7 @@
 	_, text := get(t, d, "")
 	l, err := sidecar.ParseList(text)
 	if err != nil || !l.Full || l.Rev != 2 || len(l.Targets) != 2 || l.Targets[0].UID != "s-1" || l.Targets[1].State != "Terminating" {
-		t.Errorf("%+v, %v", l, err)
+		t.Errorf("list %+v, error %v", l, err)
 	}
 	if status, _ := get(t, d, "?since=often"); status != http.StatusBadRequest {
 		t.Errorf("status %d for an invalid version, want 400", status)
@@ -145,7 +145,7 @@
 }
 
 // A watch from a version older than the changes that are kept gets the full list.
-func TestOldVersionsGetTheWholeList(t *testing.T) {
+func TestOldVersionsGetTheFullList(t *testing.T) {
 	d := newTestDiscovery(t)
 	for range maxChanges {
 		if err := d.Change(target("s-1", "Ready")); err != nil {
--- a/internal/rig/rig_test.go
+++ b/internal/rig/rig_test.go
@@ -66,15 +66,15 @@
 }
 
 // callUntilServed makes calls until one is served. On a busy machine the first may time out.
-func callUntilServed(ctx context.Context, t *testing.T, w *route, addr, class string) {
+func callUntilServed(ctx context.Context, t *testing.T, r *route, addr, class string) {
 	t.Helper()
 	for i := 0; ; i++ {
-		status, err := w.roundTrip(ctx, addr, class, class+addr+strconv.Itoa(i))
+		status, err := r.roundTrip(ctx, addr, class, class+addr+strconv.Itoa(i))
 		if status == http.StatusOK && err == nil {
 			return
 		}
 		if ctx.Err() != nil {
-			t.Fatalf("%s: status %d, %v", class, status, err)
+			t.Fatalf("%s: status %d, error %v", class, status, err)
 		}
 	}
 }
@@ -84,11 +84,11 @@
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	b := newRunningTestbed(ctx, t, 2)
-	w := newRoute(nil)
-	defer w.close()
+	r := newRoute(nil)
+	defer r.close()
 	for i := range 2 {
 		for _, class := range classByEffect {
-			callUntilServed(ctx, t, w, b.addr(i), class)
+			callUntilServed(ctx, t, r, b.addr(i), class)
 		}
 		u, err := b.processes[i].usage()
 		if err != nil || u.CPU <= 0 || u.Resident < 1<<20 || u.Peak < u.Resident || u.Descriptors < 3 {
@@ -104,7 +104,7 @@
 }
 
 // All sidecar processes end when their context does, and the working directory is removed.
-func TestChildrenEndWithTheirContext(t *testing.T) {
+func TestSidecarProcessesEndWithTheirContext(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	b := newRunningTestbed(ctx, t, 2)
@@ -175,9 +175,9 @@
 		t.Fatal(err)
 	}
 	defer b.close()
-	set := sidecarSettings(1, 0, true, defaultPollInterval)
-	set["classes"] = nil
-	_, err = startProcess(ctx, b.binary, b.dir, "n0", b.discovery.Addr(0), b.discovery.List(), b.nextSeed(), set)
+	settings := sidecarSettings(1, 0, true, defaultPollInterval)
+	settings["classes"] = nil
+	_, err = startProcess(ctx, b.binary, b.dir, "n0", b.discovery.Addr(0), b.discovery.List(), b.nextSeed(), settings)
 	if err == nil || !strings.Contains(err.Error(), "Classes is empty") {
 		t.Errorf("error %v, want the reason for the failure", err)
 	}
@@ -255,10 +255,10 @@
 		t.Fatal(err)
 	}
 	defer e.Close()
-	w := newRoute(nil)
-	defer w.close()
-	w.call(context.Background(), e.Addr(0), "read", "1", time.Now().Add(-3*time.Second))
-	if c := w.results(); c.Served != 1 || c.Latency.P50 < 2990 || c.Latency.Max < 2990 || c.Connections != 1 {
+	r := newRoute(nil)
+	defer r.close()
+	r.call(context.Background(), e.Addr(0), "read", "1", time.Now().Add(-3*time.Second))
+	if c := r.results(); c.Served != 1 || c.Latency.P50 < 2990 || c.Latency.Max < 2990 || c.Connections != 1 {
 		t.Errorf("calls %+v, want one with a latency of at least 2990 ms", c)
 	}
 }
