--- a/cmd/slopes/change.go
+++ b/cmd/slopes/change.go
@@ -15,8 +15,8 @@
 	Endpoints int           `help:"Endpoints, at most 300 with an address of their own." default:"30"`
 	Rate      float64       `help:"Calls a second of clients, over all sidecars; 0 = 5 for each." default:"0"`
 	Seeds     []uint64      `help:"One change for each, with calls of this seed." default:"1,2,3"`
-	Restart   bool          `help:"Apply the change by a rolling restart, a tenth at a time, instead of by a signal."`
-	Wait      time.Duration `help:"Longest wait for a change to take effect." default:"10s"`
+	Restart   bool          `help:"Change by a rolling restart, a tenth at a time, not by a signal."`
+	Wait      time.Duration `help:"Longest wait for a change to be in force." default:"10s"`
 }
 
 func (c *changeCommand) Run(ctx context.Context, o *output) error {
--- a/cmd/slopes/main.go
+++ b/cmd/slopes/main.go
@@ -43,8 +43,8 @@
 	Module    moduleCommand    `cmd:"" help:"Processor time and heap of the decision module against servers, list and waiting calls."`
 	Cost      sidecarCommand   `cmd:"" name:"sidecar" help:"Memory, processor time and bytes of one sidecar process against list, changes and connections."`
 	Discovery discoveryCommand `cmd:"" help:"Processor time and bytes of the stand-in discovery against watches and list."`
-	Added     addedCommand     `cmd:"" help:"What a sidecar adds to a call, for each effect, compared with direct calls in the same run."`
-	Change    changeCommand    `cmd:"" help:"Time until a change of the settings takes effect in real sidecars, and what it costs."`
+	Added     addedCommand     `cmd:"" help:"What a sidecar adds to a call, for each effect, against the direct way in the same run."`
+	Change    changeCommand    `cmd:"" help:"Until a change of the settings is in force in real sidecars, and what it costs."`
 	Fleet     fleetCommand     `cmd:"" help:"Outages of discovery and a wave of restarts with real sidecars."`
 	StandIn   standInCommand   `cmd:"" hidden:"" name:"stand-in" help:"Run a stand-in discovery on standard input and output."`
 }
@@ -131,9 +131,9 @@
 
 type moduleCommand struct {
 	Servers []int         `help:"Sizes of the tier." default:"10,30,100,300,1000,2800"`
-	Waiting []int         `help:"Numbers of calls that wait." default:"10,100,300,1000,3000"`
-	Rounds  int           `help:"Rounds of each measure; the lowest counts." default:"5"`
-	Round   time.Duration `help:"Minimum processor time of a round." default:"50ms"`
+	Waiting []int         `help:"Calls that wait." default:"10,100,300,1000,3000"`
+	Rounds  int           `help:"Rounds of each measure, of which the least counts." default:"5"`
+	Round   time.Duration `help:"Least processor time of a round." default:"50ms"`
 }
 
 func (c *moduleCommand) Run(ctx context.Context, o *output) error {
@@ -146,12 +146,12 @@
 }
 
 type sidecarCommand struct {
-	For         time.Duration `help:"Time of each measurement." default:"5s"`
+	For         time.Duration `help:"Time that each figure is measured." default:"5s"`
 	Rate        float64       `help:"Calls a second where there are calls." default:"168"`
-	Work        time.Duration `help:"Service time of an endpoint for a call." default:"0s"`
+	Work        time.Duration `help:"Work of an endpoint on a call." default:"0s"`
 	Lists       []int         `help:"Lengths of the list; entries past 300 are hollow: they share addresses." default:"10,100,300,1000,2800"`
-	Changes     []int         `help:"Changes a minute, with a list of 300." default:"0,60,600,3000,6000"`
-	Connections []int         `help:"Client connections, with a list of 300." default:"10,100,300,1000"`
+	Changes     []int         `help:"Changes a minute, at a list of 300." default:"0,60,600,3000,6000"`
+	Connections []int         `help:"Connections of clients, at a list of 300." default:"10,100,300,1000"`
 }
 
 func (c *sidecarCommand) Run(ctx context.Context, o *output) error {
@@ -170,10 +170,10 @@
 }
 
 type discoveryCommand struct {
-	For     time.Duration `help:"Time of each measurement." default:"5s"`
-	Watches []int         `help:"Watches open at once, with a list of 300." default:"10,30,100,300,1000"`
-	Changes int           `help:"Changes a minute sent to them." default:"600"`
-	Lists   []int         `help:"Lengths of the list, for calls that get the full list." default:"10,100,300,1000,2800"`
+	For     time.Duration `help:"Time that each figure is measured." default:"5s"`
+	Watches []int         `help:"Watches open at once, at a list of 300." default:"10,30,100,300,1000"`
+	Changes int           `help:"Changes a minute for them." default:"600"`
+	Lists   []int         `help:"Lengths of the list, for whole lists." default:"10,100,300,1000,2800"`
 }
 
 func (c *discoveryCommand) Run(ctx context.Context, o *output) error {
@@ -199,10 +199,10 @@
 }
 
 type addedCommand struct {
-	For       time.Duration `help:"Measured time for each effect and size." default:"20s"`
-	Warm      time.Duration `help:"Time of calls before the measured ones." default:"2s"`
-	Rate      float64       `help:"Calls a second through the sidecar, and as many direct." default:"168"`
-	Work      time.Duration `help:"Service time of an endpoint for a call." default:"0s"`
+	For       time.Duration `help:"Time that each effect at each size is measured." default:"20s"`
+	Warm      time.Duration `help:"Time of calls before that." default:"2s"`
+	Rate      float64       `help:"Calls a second by the sidecar, and as many direct." default:"168"`
+	Work      time.Duration `help:"Work of an endpoint on a call." default:"0s"`
 	Endpoints []int         `help:"Sizes of the tier, at most 300." default:"29,100,300"`
 }
 
@@ -243,16 +243,16 @@
 type fleetCommand struct {
 	Sidecars  int           `help:"Real sidecars, at most 300." default:"20"`
 	Endpoints int           `help:"Endpoints, at most 300 with an address of their own." default:"30"`
-	Pushed    bool          `help:"Lists are pushed instead of requested."`
+	Pushed    bool          `help:"Lists are pushed, not asked for."`
 	Rate      float64       `help:"Calls a second of clients, over all sidecars." default:"0"`
-	Work      time.Duration `help:"Service time of an endpoint for a call." default:"0s"`
-	CallTime  time.Duration `help:"Time that discovery takes for each call, one at a time." default:"0s"`
+	Work      time.Duration `help:"Work of an endpoint on a call." default:"0s"`
+	CallTime  time.Duration `help:"Time that discovery needs for each call, in turn." default:"0s"`
 	MaxWait   time.Duration `help:"Longest wait of a call for its turn; 0 = any." default:"0s"`
-	AskEvery  time.Duration `help:"Time between list calls in the settings; the module's back-off follows it." default:"10s"`
-	Outages   []string      `help:"Kinds of outages of discovery, one after another." enum:"refused,503,silent" default:"refused,503,silent"`
-	Rest      time.Duration `help:"Time measured at rest, before the outages and after each recovery." default:"10s"`
+	AskEvery  time.Duration `help:"Time between calls for lists in the settings; the module's back-off follows it." default:"10s"`
+	Outages   []string      `help:"Ways in which discovery is away, one after another." enum:"refused,503,silent" default:"refused,503,silent"`
+	Rest      time.Duration `help:"Time measured before, and after each return." default:"10s"`
 	Away      time.Duration `help:"Length of an outage." default:"8s"`
-	Killed    float64       `help:"Share of the sidecars that are killed at once and restarted; negative = none." default:"0.7"`
+	Killed    float64       `help:"Share of the sidecars that are killed at once and started again; negative = none." default:"0.7"`
 }
 
 func (c *fleetCommand) Run(ctx context.Context, o *output) error {
