--- a/internal/experiment/check.go
+++ b/internal/experiment/check.go
@@ -11,29 +11,30 @@
 	"time"
 )
 
-// MaxDepth is the most services that a request may pass through, one calling the next.
+// MaxDepth is the maximum number of services in a chain of calls.
 const MaxDepth = 24
 
-// Bounds on what an experiment makes of its keys.
+// Limits on values that are derived from several keys.
 const (
-	maxServices = 10_000
-	maxSize     = 1_000_000 // endpoints and sidecars at the front
-	maxZones    = 256       // the decision module counts them in a byte
-	maxRate     = 1e8       // calls a second over all services
-	shareError  = 1e-3      // that the sum of shares may be off
+	maxServices    = 10_000
+	maxInstances   = 1_000_000 // endpoints and front sidecars
+	maxZones       = 256       // the decision module stores a zone in one byte
+	maxRate        = 1e8       // calls per second over all services
+	shareTolerance = 1e-3      // allowed deviation of the sum of class shares from 1
 )
 
-// rule bounds the value of a key, inclusively, and says what it is where the file leaves it out. Times are in seconds.
+// rule holds the inclusive bounds of a key's value and its default. Times are in seconds.
 type rule struct {
-	least, most, absent float64
-	required            bool
+	min, max, defaultValue float64
+	required               bool
 }
 
 const hour = 3600.0
 
 var required = rule{required: true}
 
-// rules names every key that is a number or a time, and the texts that must be given.
+// rules has an entry for every key that is a number or a time, and for every required string. The map keys are paths of
+// TOML names without list indexes.
 var rules = map[string]rule{
 	"seed":      {0, math.MaxUint64, 1, false},
 	"duration":  {0.001, 168 * hour, 60, false},
@@ -87,12 +88,12 @@
 	"fault.kind":   required,
 	"fault.at":     {0, 168 * hour, 0, false},
 	"fault.for":    {0.001, 168 * hour, 10, false},
-	"fault.count":  {1, maxSize, 0, false},
+	"fault.count":  {1, maxInstances, 0, false},
 	"fault.factor": {0, 1000, 0, false},
 }
 
-// kinds are those of faults: what their target is, and what besides it they take.
-var kinds = map[string]struct {
+// faultKinds maps each kind of fault to the form of its target and the other keys that it accepts.
+var faultKinds = map[string]struct {
 	target        string // "", "service", "region", "zone" or "rack"
 	count, factor bool
 }{
@@ -102,40 +103,41 @@
 	"burst": {target: "service", factor: true},
 }
 
-// fillIn gives what the file leaves out its default. Faults take Count 1 and Factor 2 where their kind has them.
-func (e *Experiment) fillIn() {
+// applyDefaults sets the default of every key that the file omits. Count defaults to 1 and Factor to 2 for the kinds of
+// fault that accept them.
+func (e *Experiment) applyDefaults() {
 	if len(e.Regions) == 0 {
 		e.Regions = []Region{{Name: "r-0"}}
 	}
 	if len(e.Classes) == 0 {
 		e.Classes = []Class{{Name: "read"}}
 	}
-	e.each(func(path string, r rule, v reflect.Value) {
-		if !e.source.has(path) && v.Kind() != reflect.String {
-			set(v, r.absent)
+	e.visitRuledKeys(func(path string, r rule, v reflect.Value) {
+		if !e.source.hasKey(path) && v.Kind() != reflect.String {
+			setNumber(v, r.defaultValue)
 		}
 	})
-	if len(e.Classes) == 1 && !e.source.has("class[0].share") {
+	if len(e.Classes) == 1 && !e.source.hasKey("class[0].share") {
 		e.Classes[0].Share = 1
 	}
 	for i := range e.Classes {
-		if !e.source.has(fmt.Sprintf("class[%d].effect", i)) {
+		if !e.source.hasKey(fmt.Sprintf("class[%d].effect", i)) {
 			e.Classes[i].Effect = "safe"
 		}
 	}
 	for i := range e.Faults {
-		f, takes := &e.Faults[i], kinds[e.Faults[i].Kind]
-		if takes.count && !e.source.has(fmt.Sprintf("fault[%d].count", i)) {
+		f, kind := &e.Faults[i], faultKinds[e.Faults[i].Kind]
+		if kind.count && !e.source.hasKey(fmt.Sprintf("fault[%d].count", i)) {
 			f.Count = 1
 		}
-		if takes.factor && !e.source.has(fmt.Sprintf("fault[%d].factor", i)) {
+		if kind.factor && !e.source.hasKey(fmt.Sprintf("fault[%d].factor", i)) {
 			f.Factor = 2
 		}
 	}
 }
 
-// each visits every value that a rule is about.
-func (e *Experiment) each(visit func(path string, r rule, v reflect.Value)) {
+// visitRuledKeys calls visit for every value that has a rule.
+func (e *Experiment) visitRuledKeys(visit func(path string, r rule, v reflect.Value)) {
 	var walk func(path, pattern string, v reflect.Value)
 	walk = func(path, pattern string, v reflect.Value) {
 		switch {
@@ -158,8 +160,8 @@
 	walk("", "", reflect.ValueOf(e).Elem())
 }
 
-// set gives a number or time, in seconds, its value.
-func set(v reflect.Value, x float64) {
+// setNumber sets v, a number or a Duration, to x. For a Duration x is in seconds.
+func setNumber(v reflect.Value, x float64) {
 	switch v.Kind() {
 	case reflect.Float64:
 		v.SetFloat(x)
@@ -172,80 +174,80 @@
 	}
 }
 
-// check names the fault that comes first in the file.
-func (e *Experiment) check() error {
+// validate returns the error that comes first in the file, or nil.
+func (e *Experiment) validate() error {
 	c := &checker{e: e}
-	e.each(c.bounds)
-	if c.names() && len(c.found) == 0 { // what follows takes each value for sound
-		c.places = e.places()
-		c.graph()
-		c.shares()
-		c.faults()
-	}
-	if len(c.found) == 0 {
+	e.visitRuledKeys(c.checkBounds)
+	if c.checkNames() && len(c.errs) == 0 { // the checks below rely on valid values
+		c.serviceRefs = e.serviceRefs()
+		c.checkCallGraph()
+		c.checkClasses()
+		c.checkFaults()
+	}
+	if len(c.errs) == 0 {
 		return nil
 	}
-	return slices.MinFunc(c.found, func(a, b *Error) int { return a.Line - b.Line })
+	return slices.MinFunc(c.errs, func(a, b *Error) int { return a.Line - b.Line })
 }
 
-// checker gathers what is wrong with an experiment.
+// checker collects the errors of an experiment.
 type checker struct {
-	e      *Experiment
-	found  []*Error
-	places map[string]place
+	e           *Experiment
+	errs        []*Error
+	serviceRefs map[string]serviceRef
 }
 
-func (c *checker) errorf(key, format string, args ...any) {
-	c.found = append(c.found, c.e.Errorf(key, format, args...).(*Error))
+func (c *checker) addErrorf(key, format string, args ...any) {
+	c.errs = append(c.errs, c.e.Errorf(key, format, args...).(*Error))
 }
 
-// bounds holds one value against its rule.
-func (c *checker) bounds(path string, r rule, v reflect.Value) {
-	if !c.e.source.has(path) {
-		if r.required && v.IsZero() { // it may have a default where the whole table is left out
-			c.errorf(path, "is missing")
+// checkBounds checks one value against its rule.
+func (c *checker) checkBounds(path string, r rule, v reflect.Value) {
+	if !c.e.source.hasKey(path) {
+		if r.required && v.IsZero() { // the value may be set where the file omits the whole table
+			c.addErrorf(path, "is missing")
 		}
 		return
 	}
 	var x, unit float64 = 0, 1
-	text := func(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
+	format := func(x float64) string { return strconv.FormatFloat(x, 'f', -1, 64) }
 	switch v.Kind() {
 	case reflect.String:
 		if v.Len() == 0 {
-			c.errorf(path, "is empty")
+			c.addErrorf(path, "is empty")
 		}
 		return
 	case reflect.Float64:
 		x = v.Float()
 	case reflect.Uint64:
-		return // all of them serve
+		return // every uint64 is valid
 	case reflect.Int64:
 		unit = float64(time.Second)
 		x = float64(v.Int())
-		text = func(x float64) string { return show(Duration(math.Round(x))) }
+		format = func(x float64) string { return formatDuration(Duration(math.Round(x))) }
 	default:
 		x = float64(v.Int())
 	}
-	least, most := math.Round(r.least*unit), math.Round(r.most*unit)
+	lower, upper := math.Round(r.min*unit), math.Round(r.max*unit)
 	if unit == 1 {
-		least, most = r.least, r.most
+		lower, upper = r.min, r.max
 	}
 	switch {
 	case math.IsNaN(x):
-		c.errorf(path, "is not a number")
+		c.addErrorf(path, "is not a number")
 	case math.IsInf(x, 0):
-		c.errorf(path, "is infinite")
+		c.addErrorf(path, "is infinite")
 	case x < 0:
-		c.errorf(path, "%s is negative", text(x))
-	case x < least:
-		c.errorf(path, "%s is under %s", text(x), text(least))
-	case x > most:
-		c.errorf(path, "%s is over %s", text(x), text(most))
+		c.addErrorf(path, "%s is negative", format(x))
+	case x < lower:
+		c.addErrorf(path, "%s is under %s", format(x), format(lower))
+	case x > upper:
+		c.addErrorf(path, "%s is over %s", format(x), format(upper))
 	}
 }
 
-// show is a time without the parts that are nought at its end.
-func show(d Duration) string {
+// formatDuration formats d without trailing zero parts: "1h" instead of "1h0m0s".
+func formatDuration(d Duration) string {
 	text := d.String()
 	if strings.HasSuffix(text, "m0s") {
 		text = strings.TrimSuffix(text, "0s")
@@ -256,141 +258,142 @@
 	return text
 }
 
-var plain = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
+var namePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,63}$`)
 
-// names checks that all are plain, and none of a kind is given twice. It tells whether there are few enough to go on.
-func (c *checker) names() bool {
+// checkNames checks that all names have valid characters and are unique within their kind. It returns false if the
+// experiment has too many services or instances to check it further.
+func (c *checker) checkNames() bool {
 	seen := map[string]bool{}
-	name := func(kind, path, text string) {
+	checkName := func(kind, path, text string) {
 		switch {
-		case text == "": // told already
-		case !plain.MatchString(text):
-			c.errorf(path, "%s is not a name: up to 64 letters, digits, \"-\", \"_\" or \".\"", quoted(text))
+		case text == "": // already reported
+		case !namePattern.MatchString(text):
+			c.addErrorf(path, "%s is not a name: up to 64 letters, digits, \"-\", \"_\" or \".\"", quoteShort(text))
 		case seen[kind+text]:
-			c.errorf(path, "%s is a %s already", text, kind)
+			c.addErrorf(path, "%s is a %s already", text, kind)
 		}
 		seen[kind+text] = true
 	}
-	if name("", "name", c.e.Name); c.e.Name == "" {
-		c.errorf("name", "is empty")
+	if checkName("", "name", c.e.Name); c.e.Name == "" {
+		c.addErrorf("name", "is empty")
 	}
 	zones := 0
 	for i, r := range c.e.Regions {
-		name("region", fmt.Sprintf("region[%d].name", i), r.Name)
+		checkName("region", fmt.Sprintf("region[%d].name", i), r.Name)
 		if zones += min(max(r.Zones, 0), maxZones+1); zones > maxZones {
-			c.errorf(fmt.Sprintf("region[%d].zones", i), "makes %d zones in sum, %d at most", zones, maxZones)
+			c.addErrorf(fmt.Sprintf("region[%d].zones", i), "makes %d zones in sum, %d at most", zones, maxZones)
 			break
 		}
 	}
 	for i, class := range c.e.Classes {
-		name("class", fmt.Sprintf("class[%d].name", i), class.Name)
+		checkName("class", fmt.Sprintf("class[%d].name", i), class.Name)
 	}
-	services, size := 0, 0 // far from an overflow, as each is cut to its bound first
+	services, instances := 0, 0 // cannot overflow, as each summand is clamped first
 	for i, s := range c.e.Services {
 		path := fmt.Sprintf("service[%d]", i)
-		name("service", path+".name", s.Name)
+		checkName("service", path+".name", s.Name)
 		copies := min(max(s.Copies, 1), maxServices)
 		if services += copies; services > maxServices {
-			c.errorf(path+".copies", "makes %d services in sum, %d at most", services, maxServices)
+			c.addErrorf(path+".copies", "makes %d services in sum, %d at most", services, maxServices)
 			return false
 		}
 		if copies > 1 && s.Name != "" {
 			for k := range copies {
-				name("service", path+".name", fmt.Sprintf("%s-%d", s.Name, k))
+				checkName("service", path+".name", fmt.Sprintf("%s-%d", s.Name, k))
 			}
 		}
-		each := min(max(s.Endpoints, 0), maxSize) + min(max(s.Front, 0), maxSize)
-		if size += copies * each; size > maxSize {
-			c.errorf(path+".endpoints", "makes %d endpoints and sidecars at the front in sum, %d at most", size, maxSize)
+		perCopy := min(max(s.Endpoints, 0), maxInstances) + min(max(s.Front, 0), maxInstances)
+		if instances += copies * perCopy; instances > maxInstances {
+			c.addErrorf(path+".endpoints", "makes %d endpoints and sidecars at the front in sum, %d at most", instances, maxInstances)
 			return false
 		}
 	}
 	return true
 }
 
-// quoted is a text that may be long or odd, for an error.
-func quoted(text string) string {
+// quoteShort quotes text for an error message, cut to 80 characters.
+func quoteShort(text string) string {
 	if r := []rune(text); len(r) > 80 {
 		text = string(r[:80]) + "..."
 	}
 	return strconv.Quote(text)
 }
 
-// place is a service by its index, and which of its copies is meant, or -1 for all of them.
-type place struct{ service, copy int }
+// serviceRef refers to a service by its index and to one of its copies; copy is -1 for all of them.
+type serviceRef struct{ service, copy int }
 
-// places finds what a name means.
-func (e *Experiment) places() map[string]place {
-	at := map[string]place{}
+// serviceRefs maps the names of services, and of their copies, to what they refer to.
+func (e *Experiment) serviceRefs() map[string]serviceRef {
+	refs := map[string]serviceRef{}
 	for i, s := range e.Services {
 		for k := range s.Copies {
 			if s.Copies > 1 {
-				at[fmt.Sprintf("%s-%d", s.Name, k)] = place{i, k}
+				refs[fmt.Sprintf("%s-%d", s.Name, k)] = serviceRef{i, k}
 			}
 		}
-		at[s.Name] = place{i, -1}
+		refs[s.Name] = serviceRef{i, -1}
 	}
-	return at
+	return refs
 }
 
-// graph checks who calls whom, how deep, and how often.
-func (c *checker) graph() {
-	all := c.e.Services
-	if len(all) == 0 {
-		c.errorf("service", "there is none: an experiment needs one [[service]] at least")
+// checkCallGraph checks that all called services exist, that there are no cycles, and the depth and the total rate of calls.
+func (c *checker) checkCallGraph() {
+	services := c.e.Services
+	if len(services) == 0 {
+		c.addErrorf("service", "there is none: an experiment needs one [[service]] at least")
 		return
 	}
-	for i, s := range all {
+	for i, s := range services {
 		path := fmt.Sprintf("service[%d]", i)
 		if s.Rate > 0 && s.Front == 0 {
-			c.errorf(path+".rate", "clients come through sidecars at the front, and there are none: set front")
+			c.addErrorf(path+".rate", "clients come through sidecars at the front, and there are none: set front")
 		}
-		called := map[string]int{}
+		callIndex := map[string]int{}
 		for k, call := range s.Calls {
 			to := fmt.Sprintf("%s.call[%d].to", path, k)
-			if call.To == "" { // told already
-			} else if _, ok := c.places[call.To]; !ok {
-				c.errorf(to, "there is no service %s", quoted(call.To))
-			} else if first, twice := called[call.To]; twice {
-				c.errorf(to, "%s is called by call[%d] already: set its times", call.To, first)
+			if call.To == "" { // already reported
+			} else if _, ok := c.serviceRefs[call.To]; !ok {
+				c.addErrorf(to, "there is no service %s", quoteShort(call.To))
+			} else if first, duplicate := callIndex[call.To]; duplicate {
+				c.addErrorf(to, "%s is called by call[%d] already: set its times", call.To, first)
 			}
-			called[call.To] = k
+			callIndex[call.To] = k
 		}
 	}
-	// From each service, depth first: a service that is met on the way to itself closes a circle.
-	chains := make([][]int, len(all)) // the longest from each, once known
-	var way []int
-	var visit func(i int, at string) bool
-	visit = func(i int, at string) bool {
-		if from := slices.Index(way, i); from >= 0 {
-			c.errorf(at, "services call each other in a circle: %s", c.chain(append(way[from:], i)))
+	// Depth-first search from each service: meeting a service that is on the stack means a cycle.
+	longest := make([][]int, len(services)) // longest call chain from each service, nil until computed
+	var stack []int
+	var visit func(i int, callPath string) bool
+	visit = func(i int, callPath string) bool {
+		if from := slices.Index(stack, i); from >= 0 {
+			c.addErrorf(callPath, "services call each other in a circle: %s", c.formatChain(append(stack[from:], i)))
 			return false
 		}
-		if chains[i] != nil {
+		if longest[i] != nil {
 			return true
 		}
-		way = append(way, i)
+		stack = append(stack, i)
 		chain := []int{i}
-		for k, call := range all[i].Calls {
+		for k, call := range services[i].Calls {
 			path := fmt.Sprintf("service[%d].call[%d].to", i, k)
-			to, ok := c.places[call.To]
+			to, ok := c.serviceRefs[call.To]
 			if !ok {
 				continue
 			}
 			if !visit(to.service, path) {
 				return false
 			}
-			if next := chains[to.service]; len(next)+1 > len(chain) {
+			if next := longest[to.service]; len(next)+1 > len(chain) {
 				chain = append([]int{i}, next...)
 			}
 		}
-		way = way[:len(way)-1]
-		if chains[i] = chain; len(chain) == MaxDepth+1 {
-			c.errorf(fmt.Sprintf("service[%d]", i), "calls go %d deep, %d at most: %s", len(chain), MaxDepth, c.chain(chain))
+		stack = stack[:len(stack)-1]
+		if longest[i] = chain; len(chain) == MaxDepth+1 {
+			c.addErrorf(fmt.Sprintf("service[%d]", i), "calls go %d deep, %d at most: %s", len(chain), MaxDepth, c.formatChain(chain))
 		}
 		return true
 	}
-	for i := range all {
+	for i := range services {
 		if !visit(i, "") {
 			return
 		}
@@ -401,12 +404,12 @@
 		total += rate
 	}
 	if total > maxRate {
-		c.errorf("service", "%.3g calls a second in sum, %.3g at most", total, maxRate)
+		c.addErrorf("service", "%.3g calls a second in sum, %.3g at most", total, maxRate)
 	}
 }
 
-// chain writes services one calling the next.
-func (c *checker) chain(services []int) string {
+// formatChain formats a chain of calls as "a -> b -> c".
+func (c *checker) formatChain(services []int) string {
 	names := make([]string, len(services))
 	for i, s := range services {
 		names[i] = c.e.Services[s].Name
@@ -414,10 +417,11 @@
 	return strings.Join(names, " -> ")
 }
 
-// order lists services, callers ahead of those that they call. No service may call itself in a circle.
-func (e *Experiment) order() []int {
-	places := e.places()
-	var out []int
+// callersFirst returns the indexes of all services in topological order, callers before the services that they call. The
+// call graph must have no cycles.
+func (e *Experiment) callersFirst() []int {
+	refs := e.serviceRefs()
+	var order []int
 	seen := make([]bool, len(e.Services))
 	var visit func(i int)
 	visit = func(i int) {
@@ -426,32 +430,31 @@
 		}
 		seen[i] = true
 		for _, call := range e.Services[i].Calls {
-			if to, ok := places[call.To]; ok {
+			if to, ok := refs[call.To]; ok {
 				visit(to.service)
 			}
 		}
-		out = append(out, i)
+		order = append(order, i)
 	}
 	for i := range e.Services {
 		visit(i)
 	}
-	slices.Reverse(out)
-	return out
+	slices.Reverse(order)
+	return order
 }
 
-// Rates is the calls a second that each service gets, in sum and those that are played, as the clients' calls make
-// them without retries and faults. Played calls come from played ones only: no more of a service's calls are played than
-// of those that call it.
+// Rates returns the calls per second that each service receives without retries and faults: all of them, and those that
+// are simulated. Only simulated calls make simulated calls, so a service's simulated share is at most that of its callers.
 func (e *Experiment) Rates() (all, played []float64) {
 	all, played = make([]float64, len(e.Services)), make([]float64, len(e.Services))
-	places := e.places()
-	for _, i := range e.order() {
+	refs := e.serviceRefs()
+	for _, i := range e.callersFirst() {
 		s := e.Services[i]
 		clients := s.Rate * float64(max(s.Copies, 1))
 		all[i] += clients
 		played[i] += clients * s.Thin
 		for _, call := range s.Calls {
-			if to, ok := places[call.To]; ok {
+			if to, ok := refs[call.To]; ok {
 				all[to.service] += all[i] * call.Times
 				played[to.service] += min(played[i], all[i]*e.Services[to.service].Thin) * call.Times
 			}
@@ -460,95 +463,95 @@
 	return all, played
 }
 
-// Depth is the most services that a request passes through, one calling the next.
+// Depth returns the number of services in the longest chain of calls.
 func (e *Experiment) Depth() int {
-	depth, most := make([]int, len(e.Services)), 0
-	places := e.places()
-	for _, i := range e.order() {
+	depth, deepest := make([]int, len(e.Services)), 0
+	refs := e.serviceRefs()
+	for _, i := range e.callersFirst() {
 		depth[i]++
-		most = max(most, depth[i])
+		deepest = max(deepest, depth[i])
 		for _, call := range e.Services[i].Calls {
-			if to, ok := places[call.To]; ok {
+			if to, ok := refs[call.To]; ok {
 				depth[to.service] = max(depth[to.service], depth[i])
 			}
 		}
 	}
-	return most
+	return deepest
 }
 
-// shares checks the classes.
-func (c *checker) shares() {
+// checkClasses checks the effects and timeouts of the classes, and that their shares add up to 1.
+func (c *checker) checkClasses() {
 	sum := 0.0
 	for i, class := range c.e.Classes {
 		path := fmt.Sprintf("class[%d]", i)
 		sum += class.Share
 		if !slices.Contains([]string{"safe", "keyed", "unsafe"}, class.Effect) {
-			c.errorf(path+".effect", "%s is none of \"safe\", \"keyed\" and \"unsafe\"", quoted(class.Effect))
+			c.addErrorf(path+".effect", "%s is none of \"safe\", \"keyed\" and \"unsafe\"", quoteShort(class.Effect))
 		}
 		if class.Aim > class.GiveUp {
-			c.errorf(path+".aim", "%s is over give_up, %s", show(class.Aim), show(class.GiveUp))
+			c.addErrorf(path+".aim", "%s is over give_up, %s", formatDuration(class.Aim), formatDuration(class.GiveUp))
 		}
 	}
-	if !(math.Abs(sum-1) <= shareError) {
-		c.errorf(fmt.Sprintf("class[%d].share", len(c.e.Classes)-1), "the shares of all classes add up to %.4g, not to 1", sum)
+	if !(math.Abs(sum-1) <= shareTolerance) {
+		c.addErrorf(fmt.Sprintf("class[%d].share", len(c.e.Classes)-1), "the shares of all classes add up to %.4g, not to 1", sum)
 	}
 }
 
-// faults checks each fault's kind, its time, its target and what its kind takes.
-func (c *checker) faults() {
+// checkFaults checks the kind, the times and the target of each fault, and that it has no keys that its kind does not accept.
+func (c *checker) checkFaults() {
 	for i, f := range c.e.Faults {
 		path := fmt.Sprintf("fault[%d]", i)
-		takes, known := kinds[f.Kind]
-		if !known {
+		kind, ok := faultKinds[f.Kind]
+		if !ok {
 			if f.Kind != "" {
-				c.errorf(path+".kind", "%s is none of machine, rack, zone, split, down, silent, refusing, restart, changes and burst",
-					quoted(f.Kind))
+				c.addErrorf(path+".kind", "%s is none of machine, rack, zone, split, down, silent, refusing, restart, changes and burst",
+					quoteShort(f.Kind))
 			}
 			continue
 		}
 		if f.At >= c.e.Duration {
-			c.errorf(path+".at", "%s is after the run, which lasts %s", show(f.At), show(c.e.Duration))
+			c.addErrorf(path+".at", "%s is after the run, which lasts %s", formatDuration(f.At), formatDuration(c.e.Duration))
 		} else if end := f.At + f.For; end > c.e.Duration {
 			key := path + ".for"
-			if !c.e.source.has(key) {
+			if !c.e.source.hasKey(key) {
 				key = path + ".at"
 			}
-			c.errorf(key, "it ends at %s, after the run, which lasts %s", show(end), show(c.e.Duration))
+			c.addErrorf(key, "it ends at %s, after the run, which lasts %s", formatDuration(end), formatDuration(c.e.Duration))
 		}
-		if !takes.count && c.e.source.has(path+".count") {
-			c.errorf(path+".count", "a fault of kind %s takes none", f.Kind)
+		if !kind.count && c.e.source.hasKey(path+".count") {
+			c.addErrorf(path+".count", "a fault of kind %s takes none", f.Kind)
 		}
-		if !takes.factor && c.e.source.has(path+".factor") {
-			c.errorf(path+".factor", "a fault of kind %s takes none", f.Kind)
+		if !kind.factor && c.e.source.hasKey(path+".factor") {
+			c.addErrorf(path+".factor", "a fault of kind %s takes none", f.Kind)
 		}
-		c.faultTarget(path, f, takes.target)
+		c.checkFaultTarget(path, f, kind.target)
 	}
 }
 
-// faultTarget checks that what a fault is about exists.
-func (c *checker) faultTarget(path string, f Fault, kind string) {
+// checkFaultTarget checks that the target of a fault exists.
+func (c *checker) checkFaultTarget(path string, f Fault, targetKind string) {
 	key := path + ".target"
-	if kind == "" {
-		if c.e.source.has(key) {
-			c.errorf(key, "a fault of kind %s takes none", f.Kind)
+	if targetKind == "" {
+		if c.e.source.hasKey(key) {
+			c.addErrorf(key, "a fault of kind %s takes none", f.Kind)
 		}
 		return
 	}
-	if kind == "service" {
+	if targetKind == "service" {
 		endpoints, rate := 0, 0.0
 		for _, s := range c.e.Services {
 			endpoints += max(s.Copies, 1) * s.Endpoints
 			rate += s.Rate
 		}
 		if f.Target != "" {
-			at, ok := c.places[f.Target]
+			ref, ok := c.serviceRefs[f.Target]
 			if !ok {
-				c.errorf(key, "there is no service %s", quoted(f.Target))
+				c.addErrorf(key, "there is no service %s", quoteShort(f.Target))
 				return
 			}
-			s := c.e.Services[at.service]
-			if s.Copies > 1 && at.copy < 0 {
-				c.errorf(key, "%s has %d copies: name one, such as %s-0", s.Name, s.Copies, s.Name)
+			s := c.e.Services[ref.service]
+			if s.Copies > 1 && ref.copy < 0 {
+				c.addErrorf(key, "%s has %d copies: name one, such as %s-0", s.Name, s.Copies, s.Name)
 				return
 			}
 			endpoints, rate = s.Endpoints, s.Rate
@@ -556,39 +559,39 @@
 			key = path
 		}
 		if (f.Kind == "machine" || f.Kind == "restart") && f.Count > endpoints {
-			c.errorf(path+".count", "%d is over the %d endpoints that there are", f.Count, endpoints)
+			c.addErrorf(path+".count", "%d is over the %d endpoints that there are", f.Count, endpoints)
 		}
 		if f.Kind == "burst" && rate == 0 {
-			c.errorf(key, "clients make no calls there, so there is nothing to burst")
+			c.addErrorf(key, "clients make no calls there, so there is nothing to burst")
 		}
 		return
 	}
 	parts := strings.Split(f.Target, "/")
 	forms := map[string]string{"region": "region", "zone": "region/zone", "rack": "region/zone/rack"}
-	if len(parts) != strings.Count(forms[kind], "/")+1 || f.Target == "" {
-		c.errorf(key, "%s is not of the form %q", quoted(f.Target), forms[kind])
+	if len(parts) != strings.Count(forms[targetKind], "/")+1 || f.Target == "" {
+		c.addErrorf(key, "%s is not of the form %q", quoteShort(f.Target), forms[targetKind])
 		return
 	}
-	i := c.e.region(parts[0])
+	i := c.e.regionIndex(parts[0])
 	if i < 0 {
-		c.errorf(key, "there is no region %s", quoted(parts[0]))
+		c.addErrorf(key, "there is no region %s", quoteShort(parts[0]))
 		return
 	}
-	if kind == "region" && len(c.e.Regions) == 1 {
-		c.errorf(key, "%s is the only region, so there is nothing to be split from", parts[0])
+	if targetKind == "region" && len(c.e.Regions) == 1 {
+		c.addErrorf(key, "%s is the only region, so there is nothing to be split from", parts[0])
 	}
 	r := c.e.Regions[i]
-	for k, most := range []int{r.Zones, r.Racks}[:len(parts)-1] {
-		if n, err := strconv.Atoi(parts[k+1]); err != nil || n < 0 || n >= most || parts[k+1] != strconv.Itoa(n) {
-			c.errorf(key, "there is no %s %s in region %s: they go from 0 to %d",
-				[]string{"zone", "rack"}[k], quoted(parts[k+1]), r.Name, most-1)
+	for k, count := range []int{r.Zones, r.Racks}[:len(parts)-1] {
+		if n, err := strconv.Atoi(parts[k+1]); err != nil || n < 0 || n >= count || parts[k+1] != strconv.Itoa(n) {
+			c.addErrorf(key, "there is no %s %s in region %s: they go from 0 to %d",
+				[]string{"zone", "rack"}[k], quoteShort(parts[k+1]), r.Name, count-1)
 			return
 		}
 	}
 }
 
-// region finds one by its name or its number from 0; -1 if there is none.
-func (e *Experiment) region(text string) int {
+// regionIndex returns the index of the region with the given name or number, or -1 if there is none.
+func (e *Experiment) regionIndex(text string) int {
 	if i := slices.IndexFunc(e.Regions, func(r Region) bool { return r.Name == text }); i >= 0 {
 		return i
 	}
@@ -598,36 +601,37 @@
 	return -1
 }
 
-// dealOut writes services with copies one by one, and regions in targets by their numbers.
-func (e *Experiment) dealOut() {
+// expandCopies replaces each service that has copies by one service for each copy, and region names in the targets of
+// faults by region numbers.
+func (e *Experiment) expandCopies() {
 	for i := range e.Faults {
 		f := &e.Faults[i]
-		if kind := kinds[f.Kind].target; kind == "region" || kind == "zone" || kind == "rack" {
+		if kind := faultKinds[f.Kind].target; kind == "region" || kind == "zone" || kind == "rack" {
 			name, rest, _ := strings.Cut(f.Target, "/")
-			f.Target = strings.TrimSuffix(fmt.Sprintf("%d/%s", e.region(name), rest), "/")
+			f.Target = strings.TrimSuffix(fmt.Sprintf("%d/%s", e.regionIndex(name), rest), "/")
 		}
 	}
-	var out []Service
-	places := e.places()
+	var services []Service
+	refs := e.serviceRefs()
 	for _, s := range e.Services {
 		for k := range s.Copies {
-			one := s
-			one.Copies, one.Calls = 1, slices.Clone(s.Calls)
+			expanded := s
+			expanded.Copies, expanded.Calls = 1, slices.Clone(s.Calls)
 			if s.Copies > 1 {
-				one.Name = fmt.Sprintf("%s-%d", s.Name, k)
+				expanded.Name = fmt.Sprintf("%s-%d", s.Name, k)
 			}
-			for n, call := range one.Calls {
-				if to := places[call.To]; to.copy < 0 && e.Services[to.service].Copies > 1 {
-					one.Calls[n].To = fmt.Sprintf("%s-%d", call.To, k%e.Services[to.service].Copies)
+			for n, call := range expanded.Calls {
+				if to := refs[call.To]; to.copy < 0 && e.Services[to.service].Copies > 1 {
+					expanded.Calls[n].To = fmt.Sprintf("%s-%d", call.To, k%e.Services[to.service].Copies)
 				}
 			}
-			out = append(out, one)
+			services = append(services, expanded)
 		}
 	}
-	e.Services = out
+	e.Services = services
 }
 
-// Endpoints counts those of all services.
+// Endpoints returns the number of endpoints of all services.
 func (e *Experiment) Endpoints() int {
 	n := 0
 	for _, s := range e.Services {
@@ -636,15 +640,15 @@
 	return n
 }
 
-// Processes counts the sidecars: those at the front, and one for each endpoint of a service that calls others.
+// Processes returns the number of sidecars: all front sidecars, and one for each endpoint of a service that calls others.
 func (e *Experiment) Processes() int {
 	n := 0
 	for _, s := range e.Services {
-		each := s.Front
+		perCopy := s.Front
 		if len(s.Calls) > 0 {
-			each += s.Endpoints
+			perCopy += s.Endpoints
 		}
-		n += max(s.Copies, 1) * each
+		n += max(s.Copies, 1) * perCopy
 	}
 	return n
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -23,7 +23,7 @@
 	Network   Network   `toml:"network"`
 	Faults    []Fault   `toml:"fault"`
 
-	source *source // nil if it was not read from a file
+	source *sourceFile // nil if it was not read from a file
 }
 
 // Region is a set of zones; each zone has so many racks, over which endpoints are dealt out in turn.
--- a/internal/experiment/read.go
+++ b/internal/experiment/read.go
@@ -19,16 +19,16 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Example is a valid file that tells what every key means.
+// Example is a valid experiment file that documents every key.
 //
 //go:embed example.toml
 var Example string
 
-// maxFile bounds the size of a file in bytes.
-const maxFile = 1 << 20
+// maxFileBytes is the maximum size of an experiment file.
+const maxFileBytes = 1 << 20
 
-// Error says what is wrong with a file, where. Line is 0 if the file as a whole is meant; Key is empty if no key is,
-// else a path such as service[3].rate, counted from 0.
+// Error describes an error in an experiment file and its position. Line is 0 if the error concerns the file as a whole.
+// Key is empty if the error concerns no key, otherwise a path such as service[3].rate with indexes from 0.
 type Error struct {
 	File    string
 	Line    int
@@ -47,57 +47,57 @@
 	return text + " " + e.Message
 }
 
-// UnmarshalText reads what time.ParseDuration does.
+// UnmarshalText parses text with time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	t, err := time.ParseDuration(string(text))
 	*d = Duration(t)
 	return err
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText formats d so that UnmarshalText can parse it.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// Read reads and checks the file at path and fills in what it leaves out. Any fault of the file is an *Error.
+// Read reads and validates the file at path and sets the defaults of omitted keys. Every error that it returns is an *Error.
 func Read(path string) (*Experiment, error) {
-	whole := func(message string) (*Experiment, error) { return nil, &Error{File: path, Message: message} }
-	info, err := os.Stat(path) // ahead of opening it, as opening a pipe may wait for good
+	fail := func(message string) (*Experiment, error) { return nil, &Error{File: path, Message: message} }
+	info, err := os.Stat(path) // before opening it, as opening a named pipe can block forever
 	switch {
 	case errors.Is(err, os.ErrNotExist):
-		return whole("there is no such file")
+		return fail("there is no such file")
 	case err != nil:
-		return whole(cause(err))
+		return fail(readFailure(err))
 	case info.IsDir():
-		return whole("is a directory, not a file")
+		return fail("is a directory, not a file")
 	case !info.Mode().IsRegular():
-		return whole("is not a regular file")
+		return fail("is not a regular file")
 	}
 	f, err := os.Open(path)
 	if err != nil {
-		return whole(cause(err))
+		return fail(readFailure(err))
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxFile+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	if err != nil {
-		return whole(cause(err))
+		return fail(readFailure(err))
 	}
 	return Parse(path, text)
 }
 
-// cause is an error without the path that it names.
-func cause(err error) string {
+// readFailure returns the message for a file that cannot be read, without the path that err contains.
+func readFailure(err error) string {
 	if inner := (*os.PathError)(nil); errors.As(err, &inner) {
 		err = inner.Err
 	}
 	return "cannot be read: " + err.Error()
 }
 
-// Parse is Read on text that is at hand; file is its name in errors, and that of the experiment if the text has none.
+// Parse is like Read but parses text. The file name appears in errors, and names the experiment if the text does not.
 func Parse(file string, text []byte) (*Experiment, error) {
-	src := &source{file: file, text: text, lines: map[string]int{}}
-	if len(text) > maxFile {
-		return nil, &Error{File: file, Message: fmt.Sprintf("is over %d bytes long", maxFile)}
+	src := &sourceFile{file: file, text: text, lines: map[string]int{}}
+	if len(text) > maxFileBytes {
+		return nil, &Error{File: file, Message: fmt.Sprintf("is over %d bytes long", maxFileBytes)}
 	}
 	if len(bytes.TrimSpace(text)) == 0 {
 		return nil, &Error{File: file, Message: "is empty"}
@@ -105,116 +105,116 @@
 	for at := 0; at < len(text); {
 		r, n := utf8.DecodeRune(text[at:])
 		if r == utf8.RuneError && n == 1 {
-			return nil, &Error{File: file, Line: src.line(at), Message: "is not UTF-8 text"}
+			return nil, &Error{File: file, Line: src.lineAt(at), Message: "is not UTF-8 text"}
 		}
 		at += n
 	}
-	if err := src.walk(); err != nil {
+	if err := src.scanKeys(); err != nil {
 		return nil, err
 	}
-	if err := toml.Unmarshal(text, &map[string]any{}); err != nil { // the syntax, and keys that are given twice
-		return nil, src.syntax(err)
+	if err := toml.Unmarshal(text, &map[string]any{}); err != nil { // finds syntax errors and duplicate keys
+		return nil, src.syntaxError(err)
 	}
 	e := &Experiment{source: src}
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(e); err != nil {
-		return nil, src.syntax(err)
+		return nil, src.syntaxError(err)
 	}
-	e.fillIn()
-	if !src.has("name") {
+	e.applyDefaults()
+	if !src.hasKey("name") {
 		e.Name = strings.TrimSuffix(filepath.Base(file), filepath.Ext(file))
 	}
-	if err := e.check(); err != nil {
+	if err := e.validate(); err != nil {
 		return nil, err
 	}
-	e.dealOut()
+	e.expandCopies()
 	return e, nil
 }
 
-// Errorf is an *Error that names the key, a path such as memory_mb or service[3].rate, and its place in the file.
+// Errorf returns an *Error for the key, a path such as memory_mb or service[3].rate, with its line in the file.
 func (e *Experiment) Errorf(key, format string, args ...any) error {
 	src := e.source
 	if src == nil {
-		src = &source{file: e.Name}
+		src = &sourceFile{file: e.Name}
 	}
-	return &Error{File: src.file, Line: src.nearest(key), Key: key, Message: fmt.Sprintf(format, args...)}
+	return &Error{File: src.file, Line: src.nearestLine(key), Key: key, Message: fmt.Sprintf(format, args...)}
 }
 
-// index is the part of a path that numbers a table in a list.
-var index = regexp.MustCompile(`\[\d+\]`)
+// listIndexPattern matches the list indexes in a path.
+var listIndexPattern = regexp.MustCompile(`\[\d+\]`)
 
-// source knows where each key of a file is.
-type source struct {
+// sourceFile is an experiment file with the line of each of its keys.
+type sourceFile struct {
 	file  string
 	text  []byte
-	lines map[string]int // by path, of tables and keys
+	lines map[string]int // first line of each table and key, by path
 }
 
-// line is the line, from 1, of an offset.
-func (s *source) line(offset int) int { return 1 + bytes.Count(s.text[:offset], []byte("\n")) }
+// lineAt returns the line number, from 1, of a byte offset.
+func (s *sourceFile) lineAt(offset int) int { return 1 + bytes.Count(s.text[:offset], []byte("\n")) }
 
-// has tells whether the file gives the key.
-func (s *source) has(key string) bool { return s.lines[key] > 0 }
+// hasKey reports whether the file contains the key.
+func (s *sourceFile) hasKey(key string) bool { return s.lines[key] > 0 }
 
-// nearest is the line of the key, or of the innermost table round it that the file has; 1 if there is none.
-func (s *source) nearest(key string) int {
-	for key != "" && !s.has(key) {
+// nearestLine returns the line of the key, or of the innermost enclosing table in the file, or 1 if there is neither.
+func (s *sourceFile) nearestLine(key string) int {
+	for key != "" && !s.hasKey(key) {
 		key = key[:max(0, strings.LastIndexAny(key, ".["))]
 	}
 	return max(1, s.lines[key])
 }
 
-// syntax tells an error of the library in our form.
-func (s *source) syntax(err error) error {
-	var at *toml.DecodeError
+// syntaxError converts an error of the TOML library to an *Error.
+func (s *sourceFile) syntaxError(err error) error {
+	var decodeErr *toml.DecodeError
 	if strict := (*toml.StrictMissingError)(nil); errors.As(err, &strict) {
-		at = &strict.Errors[0]
-	} else if !errors.As(err, &at) {
+		decodeErr = &strict.Errors[0]
+	} else if !errors.As(err, &decodeErr) {
 		return &Error{File: s.file, Message: err.Error()}
 	}
-	line, _ := at.Position()
-	return &Error{File: s.file, Line: line, Key: s.keyAt(line), Message: strings.TrimPrefix(at.Error(), "toml: ")}
+	line, _ := decodeErr.Position()
+	return &Error{File: s.file, Line: line, Key: s.keyAtLine(line), Message: strings.TrimPrefix(decodeErr.Error(), "toml: ")}
 }
 
-// keyAt is the longest path that begins on the line.
-func (s *source) keyAt(line int) string {
+// keyAtLine returns the longest path that begins on the line.
+func (s *sourceFile) keyAtLine(line int) string {
 	longest := ""
-	for key, at := range s.lines {
-		if at == line && (len(key) > len(longest) || len(key) == len(longest) && key < longest) {
+	for key, keyLine := range s.lines {
+		if keyLine == line && (len(key) > len(longest) || len(key) == len(longest) && key < longest) {
 			longest = key
 		}
 	}
 	return longest
 }
 
-// walk notes the line of each key and finds unknown ones and values of the wrong type.
-func (s *source) walk() error {
+// scanKeys records the line of each key, and returns an error for an unknown key or a value of the wrong type.
+func (s *sourceFile) scanKeys() error {
 	var p unstable.Parser
 	p.Reset(s.text)
-	counts := map[string]int{} // of the tables of each list so far
-	prefix, within := "", reflect.TypeFor[Experiment]()
+	counts := map[string]int{} // tables seen so far in each list
+	prefix, tableType := "", reflect.TypeFor[Experiment]()
 	for p.NextExpression() {
 		n := p.Expression()
 		var err error
 		switch n.Kind {
 		case unstable.KeyValue:
-			err = s.keyValue(n, prefix, within)
+			err = s.checkKeyValue(n, prefix, tableType)
 		default:
-			prefix, within, err = s.table(n, counts)
+			prefix, tableType, err = s.enterTable(n, counts)
 		}
 		if err != nil {
 			return err
 		}
 	}
-	return nil // faults of the syntax, which end this early, are told by the decoder
+	return nil // a syntax error ends the loop early and is reported by the decoder
 }
 
-// table enters [a.b] or [[a.b]] and returns the path and type of what follows.
-func (s *source) table(n *unstable.Node, counts map[string]int) (string, reflect.Type, error) {
+// enterTable processes the header [a.b] or [[a.b]] and returns the path and type of the table.
+func (s *sourceFile) enterTable(n *unstable.Node, counts map[string]int) (string, reflect.Type, error) {
 	path, t := "", reflect.TypeFor[Experiment]()
 	for it := n.Key(); it.Next(); {
-		line := s.line(int(it.Node().Raw.Offset))
+		line := s.lineAt(int(it.Node().Raw.Offset))
 		var err error
-		if path, t, err = s.field(path, t, it.Node()); err != nil {
+		if path, t, err = s.lookupField(path, t, it.Node()); err != nil {
 			return "", nil, err
 		}
 		last := it.IsLast()
@@ -230,60 +230,60 @@
 			path = fmt.Sprintf("%s[%d]", path, counts[path]-1)
 			t = t.Elem()
 		case t.Kind() == reflect.Slice:
-			return fail("is a list of tables, each of which begins with [[" + index.ReplaceAllString(path, "") + "]]")
+			return fail("is a list of tables, each of which begins with [[" + listIndexPattern.ReplaceAllString(path, "") + "]]")
 		case t.Kind() != reflect.Struct:
-			return fail("is " + wanted(t) + ", not a table")
+			return fail("is " + expectedType(t) + ", not a table")
 		case last && n.Kind == unstable.ArrayTable:
 			return fail("is one table, not a list of them: [" + path + "]")
 		}
-		if !s.has(path) {
+		if !s.hasKey(path) {
 			s.lines[path] = line
 		}
 	}
 	return path, t, nil
 }
 
-// field is the path and type of one more part of a key.
-func (s *source) field(path string, t reflect.Type, part *unstable.Node) (string, reflect.Type, error) {
-	name := string(part.Data)
-	shown := name
+// lookupField extends path by one part of a key and returns the new path and the type of the field.
+func (s *sourceFile) lookupField(path string, t reflect.Type, keyPart *unstable.Node) (string, reflect.Type, error) {
+	name := string(keyPart.Data)
+	keyPath := name
 	if strings.Trim(name, "abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789_-") != "" || name == "" {
-		shown = strconv.Quote(name)
+		keyPath = strconv.Quote(name)
 	}
 	if path != "" {
-		shown = path + "." + shown
+		keyPath = path + "." + keyPath
 	}
-	line := s.line(int(part.Raw.Offset))
+	line := s.lineAt(int(keyPart.Raw.Offset))
 	if t.Kind() != reflect.Struct {
-		return shown, nil, &Error{File: s.file, Line: line, Key: path, Message: "is " + wanted(t) + ", not a table"}
+		return keyPath, nil, &Error{File: s.file, Line: line, Key: path, Message: "is " + expectedType(t) + ", not a table"}
 	}
 	for i := range t.NumField() {
 		if tag := t.Field(i).Tag.Get("toml"); tag != "" && tag == name {
-			return shown, t.Field(i).Type, nil
+			return keyPath, t.Field(i).Type, nil
 		}
 	}
-	return shown, nil, &Error{File: s.file, Line: line, Key: shown, Message: "is not a key that is known here"}
+	return keyPath, nil, &Error{File: s.file, Line: line, Key: keyPath, Message: "is not a key that is known here"}
 }
 
-// keyValue takes in a.b = value.
-func (s *source) keyValue(n *unstable.Node, path string, t reflect.Type) error {
+// checkKeyValue records and checks an assignment such as a.b = value.
+func (s *sourceFile) checkKeyValue(n *unstable.Node, path string, t reflect.Type) error {
 	line := 0
 	for it := n.Key(); it.Next(); {
-		line = s.line(int(it.Node().Raw.Offset))
+		line = s.lineAt(int(it.Node().Raw.Offset))
 		var err error
-		if path, t, err = s.field(path, t, it.Node()); err != nil {
+		if path, t, err = s.lookupField(path, t, it.Node()); err != nil {
 			return err
 		}
-		if !s.has(path) {
+		if !s.hasKey(path) {
 			s.lines[path] = line
 		}
 	}
-	return s.value(n.Value(), path, t, line)
+	return s.checkValue(n.Value(), path, t, line)
 }
 
-// value checks the type of a value and takes in what is inside it.
-func (s *source) value(v *unstable.Node, path string, t reflect.Type, line int) error {
-	if !s.has(path) {
+// checkValue checks the type of a value and, recursively, of its elements.
+func (s *sourceFile) checkValue(v *unstable.Node, path string, t reflect.Type, line int) error {
+	if !s.hasKey(path) {
 		s.lines[path] = line
 	}
 	fail := func(format string, args ...any) error {
@@ -303,7 +303,7 @@
 			break
 		}
 		for it := v.Children(); it.Next(); {
-			if err := s.keyValue(it.Node(), path, t); err != nil {
+			if err := s.checkKeyValue(it.Node(), path, t); err != nil {
 				return err
 			}
 		}
@@ -314,11 +314,11 @@
 		}
 		i := 0
 		for it := v.Children(); it.Next(); i++ {
-			at := line
+			elementLine := line
 			if it.Node().Kind == unstable.InlineTable {
-				at = s.line(int(it.Node().Raw.Offset))
+				elementLine = s.lineAt(int(it.Node().Raw.Offset))
 			}
-			if err := s.value(it.Node(), fmt.Sprintf("%s[%d]", path, i), t.Elem(), at); err != nil {
+			if err := s.checkValue(it.Node(), fmt.Sprintf("%s[%d]", path, i), t.Elem(), elementLine); err != nil {
 				return err
 			}
 		}
@@ -336,13 +336,13 @@
 		}
 	}
 	if !fits {
-		return fail("is %s, not %s", given[v.Kind], wanted(t))
+		return fail("is %s, not %s", nodeKindNames[v.Kind], expectedType(t))
 	}
 	return nil
 }
 
-// wanted names what a key takes.
-func wanted(t reflect.Type) string {
+// expectedType describes the values that a key of type t accepts.
+func expectedType(t reflect.Type) string {
 	switch {
 	case t == reflect.TypeFor[Duration]():
 		return `a time such as "250ms"`
@@ -360,8 +360,8 @@
 	return "a whole number"
 }
 
-// given names what a file gives.
-var given = map[unstable.Kind]string{
+// nodeKindNames describes the kinds of values in a file.
+var nodeKindNames = map[unstable.Kind]string{
 	unstable.String: "text", unstable.Bool: "true or false", unstable.Float: "a number with a fraction",
 	unstable.Integer: "a whole number", unstable.Array: "a list", unstable.InlineTable: "a table",
 	unstable.LocalDate: "a date", unstable.LocalTime: "a time of day", unstable.LocalDateTime: "a date",
--- a/internal/experiment/read_test.go
+++ b/internal/experiment/read_test.go
@@ -16,8 +16,8 @@
 	"unicode/utf8"
 )
 
-// base is a file whose lines the errors below name.
-const base = `name = "x"
+// baseFile is a valid file; the test cases edit it, and the expected errors refer to its lines.
+const baseFile = `name = "x"
 duration = "60s"
 memory_mb = 64
 
@@ -63,8 +63,8 @@
 target = "r-0/1"
 `
 
-// deep is a chain of n services.
-func deep(n int) string {
+// serviceChain returns a file with n services, each of which calls the next.
+func serviceChain(n int) string {
 	var b strings.Builder
 	for i := range n {
 		fmt.Fprintf(&b, "[[service]]\nname = \"s%d\"\nendpoints = 1\n", i)
@@ -75,13 +75,13 @@
 	return b.String()
 }
 
-// What is wrong with a file is told in one line that names the file, the line and the key.
+// Each error in a file is reported in one line with the file, the line and the key.
 func TestErrorsNameFileLineAndKey(t *testing.T) {
 	edit := func(old, new string) string {
-		if strings.Count(base, old) != 1 {
-			t.Fatalf("%q is not in the file once", old)
+		if strings.Count(baseFile, old) != 1 {
+			t.Fatalf("%q is not in the file exactly once", old)
 		}
-		return strings.Replace(base, old, new, 1)
+		return strings.Replace(baseFile, old, new, 1)
 	}
 	var chain []string
 	for i := range 25 {
@@ -145,7 +145,7 @@
 		{edit("copies = 2\nendpoints = 4\n", "copies = 2\nendpoints = 4\ncall = [{ to = \"a\" }]\n"),
 			`f.toml:31: service[2].call[0].to: services call each other in a circle: a -> b -> c -> a`},
 		{edit("times = 2\n", "[[service.call]]\nto = \"c\"\n"), `f.toml:26: service[1].call[1].to: c is called by call[0] already: set its times`},
-		{deep(25), `f.toml:1: service[0]: calls go 25 deep, 24 at most: ` + strings.Join(chain, " -> ")},
+		{serviceChain(25), `f.toml:1: service[0]: calls go 25 deep, 24 at most: ` + strings.Join(chain, " -> ")},
 		{edit(`name = "b"`, `name = "a"`), `f.toml:20: service[1].name: a is a service already`},
 		{edit(`name = "b"`, `name = "c-1"`), `f.toml:28: service[2].name: c-1 is a service already`},
 		{edit(`name = "b"`, `name = "a b"`), `f.toml:20: service[1].name: "a b" is not a name: up to 64 letters, digits, "-", "_" or "."`},
@@ -173,11 +173,11 @@
 		{edit("\"zone\"\nat = \"5s\"\ntarget = \"r-0/1\"", "\"restart\"\ncount = 17"), `f.toml:43: fault[0].count: 17 is over the 16 endpoints that there are`},
 		{edit("\"zone\"\nat = \"5s\"\ntarget = \"r-0/1\"", "\"burst\"\ntarget = \"b\""), `f.toml:43: fault[0].target: clients make no calls there, so there is nothing to burst`},
 		{edit(`"zone"`, `"down"`), `f.toml:44: fault[0].target: a fault of kind down takes none`},
-		{base + "count = 2\n", `f.toml:45: fault[0].count: a fault of kind zone takes none`},
-		{base + "factor = 2\n", `f.toml:45: fault[0].factor: a fault of kind zone takes none`},
+		{baseFile + "count = 2\n", `f.toml:45: fault[0].count: a fault of kind zone takes none`},
+		{baseFile + "factor = 2\n", `f.toml:45: fault[0].factor: a fault of kind zone takes none`},
 		{edit(`"5s"`, `"60s"`), `f.toml:43: fault[0].at: 1m is after the run, which lasts 1m`},
 		{edit(`"5s"`, `"55s"`), `f.toml:43: fault[0].at: it ends at 1m5s, after the run, which lasts 1m`},
-		{base + "for = \"1m\"\n", `f.toml:45: fault[0].for: it ends at 1m5s, after the run, which lasts 1m`},
+		{baseFile + "for = \"1m\"\n", `f.toml:45: fault[0].for: it ends at 1m5s, after the run, which lasts 1m`},
 	} {
 		_, err := Parse("f.toml", []byte(c.text))
 		got := ""
@@ -188,16 +188,16 @@
 			t.Errorf("got  %s\nwant %s", got, c.want)
 		}
 		if as := (*Error)(nil); err != nil && !errors.As(err, &as) {
-			t.Errorf("%v is no *Error", err)
+			t.Errorf("%v is not an *Error", err)
 		}
 	}
-	if _, err := Parse("f.toml", []byte(deep(24))); err != nil {
-		t.Errorf("24 deep: %v", err)
+	if _, err := Parse("f.toml", []byte(serviceChain(24))); err != nil {
+		t.Errorf("a chain of 24 services: %v", err)
 	}
 }
 
-// A file that cannot be read as one is told as such.
-func TestReadNamesWhatIsNoFile(t *testing.T) {
+// Read rejects paths that are not regular files, and names an experiment after its file if the text has no name.
+func TestReadRejectsNonRegularFiles(t *testing.T) {
 	dir := t.TempDir()
 	for path, want := range map[string]string{
 		filepath.Join(dir, "none"): "there is no such file",
@@ -209,7 +209,7 @@
 		}
 	}
 	path := filepath.Join(dir, "first.toml")
-	if err := os.WriteFile(path, []byte(deep(2)), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(serviceChain(2)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if e, err := Read(path); err != nil || e.Name != "first" {
@@ -217,13 +217,13 @@
 	}
 }
 
-// Keys that are left out take the defaults that the example names, and its ranges are those that are checked.
-func TestExampleTellsDefaultsAndRanges(t *testing.T) {
-	_, err := Parse("f.toml", []byte(deep(2)+"[[fault]]\nkind = \"machine\"\n[[fault]]\nkind = \"burst\"\nfor = \"5s\"\ntarget = \"s0\"\n"))
+// The defaults and ranges in the comments of the example are those that the code applies, and each key is documented there.
+func TestExampleDocumentsDefaultsAndRanges(t *testing.T) {
+	_, err := Parse("f.toml", []byte(serviceChain(2)+"[[fault]]\nkind = \"machine\"\n[[fault]]\nkind = \"burst\"\nfor = \"5s\"\ntarget = \"s0\"\n"))
 	if err == nil || !strings.Contains(err.Error(), "nothing to burst") {
 		t.Fatalf("error %v", err)
 	}
-	e, err := Parse("f.toml", []byte(deep(2)+"[[fault]]\nkind = \"machine\"\n"))
+	e, err := Parse("f.toml", []byte(serviceChain(2)+"[[fault]]\nkind = \"machine\"\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -237,60 +237,60 @@
 		}
 		x, err := strconv.ParseFloat(text, 64)
 		if err != nil {
-			t.Errorf("the example tells %q", text)
+			t.Errorf("the example contains %q, which is neither a time nor a number", text)
 		}
 		return x
 	}
-	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-9*math.Abs(b) }
-	key := regexp.MustCompile(`^(\w+) = .*?# (.*)$`)
+	almostEqual := func(a, b float64) bool { return math.Abs(a-b) <= 1e-9*math.Abs(b) }
+	assignment := regexp.MustCompile(`^(\w+) = .*?# (.*)$`)
 	bounds := regexp.MustCompile(`([0-9][0-9.e]*[a-z]*) to ([0-9][0-9.e]*[a-z]*)`)
-	absent := regexp.MustCompile(`default ([0-9.]+[a-z]*)$`)
-	section, told, seen := "", map[string]bool{}, 0
+	defaultValue := regexp.MustCompile(`default ([0-9.]+[a-z]*)$`)
+	section, documented, checked := "", map[string]bool{}, 0
 	for line := range strings.Lines(Example) {
 		line = strings.TrimSpace(line)
 		if strings.HasPrefix(line, "[") {
 			section = strings.Trim(line, "[]") + "."
 		}
-		m := key.FindStringSubmatch(line)
+		m := assignment.FindStringSubmatch(line)
 		if m == nil {
 			continue
 		}
 		pattern := section + m[1]
 		r, ok := rules[pattern]
-		told[pattern] = true
+		documented[pattern] = true
 		if !ok || r == required {
 			continue
 		}
 		if b := bounds.FindStringSubmatch(m[2]); b != nil {
-			seen++
-			if !near(value(b[1]), r.least) || !near(value(b[2]), r.most) {
-				t.Errorf("%s: %q, checked against %v to %v", pattern, m[2], r.least, r.most)
+			checked++
+			if !almostEqual(value(b[1]), r.min) || !almostEqual(value(b[2]), r.max) {
+				t.Errorf("%s: the example says %q, the range is %v to %v", pattern, m[2], r.min, r.max)
 			}
 		}
-		if d := absent.FindStringSubmatch(m[2]); d != nil && pattern != "fault.count" && pattern != "fault.factor" {
-			seen++
-			if !near(value(d[1]), r.absent) {
-				t.Errorf("%s: %q, taken is %v", pattern, m[2], r.absent)
+		if d := defaultValue.FindStringSubmatch(m[2]); d != nil && pattern != "fault.count" && pattern != "fault.factor" {
+			checked++
+			if !almostEqual(value(d[1]), r.defaultValue) {
+				t.Errorf("%s: the example says %q, the default is %v", pattern, m[2], r.defaultValue)
 			}
 		}
 	}
-	if seen < 50 {
-		t.Errorf("the example tells only %d ranges and defaults", seen)
+	if checked < 50 {
+		t.Errorf("only %d ranges and defaults were found in the example", checked)
 	}
 	for pattern := range rules {
-		if !told[pattern] {
-			t.Errorf("the example does not tell of %s", pattern)
+		if !documented[pattern] {
+			t.Errorf("the example does not document %s", pattern)
 		}
 	}
-	ruled := map[string]bool{}
-	e.each(func(path string, _ rule, _ reflect.Value) { ruled[index.ReplaceAllString(path, "")] = true })
-	if len(ruled) != len(rules) {
-		t.Errorf("%d rules are about no key", len(rules)-len(ruled))
+	withRule := map[string]bool{}
+	e.visitRuledKeys(func(path string, _ rule, _ reflect.Value) { withRule[listIndexPattern.ReplaceAllString(path, "")] = true })
+	if len(withRule) != len(rules) {
+		t.Errorf("%d rules match no key", len(rules)-len(withRule))
 	}
 }
 
-// Services with copies are written out one by one, and their calls go to the copy of the same number.
-func TestCopiesAreDealtOut(t *testing.T) {
+// Services with copies are expanded to one service for each copy, whose calls go to the copy with the same number.
+func TestCopiesAreExpanded(t *testing.T) {
 	e, err := Parse("f.toml", []byte(`
 [[service]]
 name = "a"
@@ -328,19 +328,19 @@
 	}
 }
 
-// A region goes by its name or its number; what is read has the number.
-func TestTargetsOfFaults(t *testing.T) {
+// A target refers to a region by its name or its number, and Parse replaces a name by the number.
+func TestFaultTargetsByRegionNameAndNumber(t *testing.T) {
 	const regions = "[[region]]\nname = \"a\"\nzones = 2\nracks = 3\n[[region]]\nname = \"0\"\nzones = 2\nracks = 3\n"
 	for target, want := range map[string]string{"a/1": "0/1", "0/1": "1/1", "1/0": "1/0", "a/1/2": "0/1/2", "a": "0", "1": "1"} {
 		kind := []string{"split", "zone", "rack"}[strings.Count(target, "/")]
-		e, err := Parse("f.toml", []byte(deep(2)+regions+"[[fault]]\nkind = \""+kind+"\"\ntarget = \""+target+"\"\n"))
+		e, err := Parse("f.toml", []byte(serviceChain(2)+regions+"[[fault]]\nkind = \""+kind+"\"\ntarget = \""+target+"\"\n"))
 		if err != nil || e.Faults[0].Target != want {
 			t.Errorf("%s %s: %+v, error %v", kind, target, e, err)
 		}
 	}
 }
 
-// The experiments of the repository are valid, and the whole fleet is as large as its file says.
+// The experiments in the repository are valid and have the sizes that their files state.
 func TestExperimentsAreValid(t *testing.T) {
 	files, err := filepath.Glob("../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
@@ -378,10 +378,10 @@
 	}
 }
 
-// Whatever a file holds, it is read or told to be wrong in one line.
+// Any input either parses or yields a one-line *Error.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(Example))
-	f.Add([]byte(base))
+	f.Add([]byte(baseFile))
 	f.Add([]byte("service = [{name = \"a\", endpoints = 1, call = [{to = \"a\"}]}]"))
 	f.Add([]byte("[[service]]\n[[service.call]]\n[service.call.x]\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
