--- a/internal/experiment/read_test.go
+++ b/internal/experiment/read_test.go
@@ -283,7 +283,9 @@
 		}
 	}
 	withRule := map[string]bool{}
-	e.visitRuledKeys(func(path string, _ rule, _ reflect.Value) { withRule[listIndexPattern.ReplaceAllString(path, "")] = true })
+	e.visitRuledKeys(func(path string, _ rule, _ reflect.Value) {
+		withRule[listIndexPattern.ReplaceAllString(path, "")] = true
+	})
 	if len(withRule) != len(rules) {
 		t.Errorf("%d rules match no key", len(rules)-len(withRule))
 	}
