--- a/cmd/fleetlab/fleet_test.go
+++ b/cmd/fleetlab/fleet_test.go
@@ -14,8 +14,8 @@
 	"forkline/internal/fleet"
 )
 
-// A signal ends a run that would take hours, with its own exit code and without a result.
-func TestASignalEndsARun(t *testing.T) {
+// SIGINT and SIGTERM end a run that would take hours, with exit code 130 and without result files.
+func TestSignalInterruptsRun(t *testing.T) {
 	dir := t.TempDir()
 	bin := filepath.Join(t.TempDir(), "fleetlab")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
@@ -23,7 +23,7 @@
 	}
 	long := strings.NewReplacer(`"60s"     #`, `"168h" #`, "rate = 200.0", "rate = 2000.0").Replace(experiment.Example)
 	for _, sig := range []syscall.Signal{syscall.SIGINT, syscall.SIGTERM} {
-		cmd := exec.Command(bin, "run", "-o", filepath.Join(dir, "r.jsonl"), "-t", filepath.Join(dir, "t.md"), write(t, "long.toml", long))
+		cmd := exec.Command(bin, "run", "-o", filepath.Join(dir, "r.jsonl"), "-t", filepath.Join(dir, "t.md"), writeTempFile(t, "long.toml", long))
 		stderr, err := cmd.StderrPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -34,7 +34,7 @@
 		t.Cleanup(func() { cmd.Process.Kill() })
 		lines := bufio.NewScanner(stderr)
 		if !lines.Scan() || !strings.Contains(lines.Text(), "run begins") {
-			t.Fatalf("told %q", lines.Text())
+			t.Fatalf("stderr begins with %q", lines.Text())
 		}
 		if err := cmd.Process.Signal(sig); err != nil {
 			t.Fatal(err)
@@ -44,18 +44,19 @@
 			last = lines.Text()
 		}
 		cmd.Wait()
-		if code := cmd.ProcessState.ExitCode(); code != exitInterrupted || !strings.Contains(last, "interrupted") || names(t, dir) != "" {
-			t.Errorf("%v: exit %d, told %q, the folder holds %q", sig, code, last, names(t, dir))
+		if code := cmd.ProcessState.ExitCode(); code != exitInterrupted || !strings.Contains(last, "interrupted") || listDir(t, dir) != "" {
+			t.Errorf("%v: exit %d, stderr ends with %q, the directory contains %q", sig, code, last, listDir(t, dir))
 		}
 	}
 }
 
-// The same file and seed give the same result, but for what depends on the machine; another seed gives another one.
-func TestTheSameSeedGivesTheSameResult(t *testing.T) {
-	b := newBench()
-	b.play, b.estimate = fleet.Run, fleet.Estimate
+// The same file and seed give the same result except for the figures that depend on the machine; another seed gives another
+// result.
+func TestSameSeedGivesSameResult(t *testing.T) {
+	b := newTestApp()
+	b.runExperiment, b.estimateMemory = fleet.Run, fleet.Estimate
 	if code := b.main(t.Context(), []string{"run", "-q", "-o", "-", "--seeds", "1,1,2", "../../experiments/small.toml"}); code != exitDone {
-		t.Fatalf("exit %d, told %s", code, &b.stderr)
+		t.Fatalf("exit %d, stderr %s", code, &b.stderr)
 	}
 	var results [][]byte
 	for line := range bytes.Lines(b.stdout.Bytes()) {
--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -1,5 +1,5 @@
-// Command fleetlab plays experiments on a hollow fleet: hundreds or thousands of sidecars with the real decision
-// module in one process, in virtual time.
+// Command fleetlab runs experiments on a hollow fleet: hundreds or thousands of simulated sidecars with the real decision
+// module, in one process and in virtual time.
 package main
 
 import (
@@ -21,7 +21,7 @@
 	"forkline/internal/fleet"
 )
 
-// The exit codes.
+// Exit codes of the program.
 const (
 	exitDone        = 0
 	exitFailed      = 1
@@ -41,60 +41,60 @@
   fleetlab run --out - first.toml | jq .calls.in_time
 
 Exit codes: 0 done; 1 a run failed or its results could not be written; 2 bad input, and nothing was run; 130
-interrupted. Result files appear whole or not at all.`
+interrupted. Result files are written atomically.`
 
-// options are the command line.
+// options holds the commands and flags; kong derives their names from the names of the fields.
 type options struct {
-	LogFormat string `enum:"text,json" default:"text" help:"Form of the log on standard error: ${enum}."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Least level that is logged: ${enum}."`
+	LogFormat string `enum:"text,json" default:"text" help:"Format of the log on standard error: ${enum}."`
+	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Minimum level that is logged: ${enum}."`
 	Quiet     bool   `short:"q" help:"Log errors only and show no progress."`
 
 	Run struct {
 		Files []string `arg:"" name:"file" help:"Experiments, in TOML."`
-		Seeds []uint64 `placeholder:"1,2,3" help:"Play each experiment with each of these seeds, not its own."`
+		Seeds []uint64 `placeholder:"1,2,3" help:"Run each experiment with each of these seeds instead of its own."`
 		Out   string   `short:"o" placeholder:"FILE" help:"Write results as JSON lines; - is standard output."`
 		Table string   `short:"t" placeholder:"FILE" help:"Write results as Markdown tables; - is standard output, and the default without --out."`
-	} `cmd:"" help:"Play experiments."`
+	} `cmd:"" help:"Run experiments."`
 	Check struct {
 		Files []string `arg:"" name:"file" help:"Experiments, in TOML."`
-	} `cmd:"" help:"Check experiments and tell their size; play nothing."`
+	} `cmd:"" help:"Check experiments and print their size without running them."`
 	Example struct{} `cmd:"" help:"Print a valid experiment that explains every key and names its default."`
 	Version struct{} `cmd:"" help:"Print the version."`
 }
 
-// lab is the command with what it stands on.
-type lab struct {
+// app is the program with its dependencies.
+type app struct {
 	stdout, stderr io.Writer
-	terminal       bool // standard error is one
-	play           func(context.Context, *experiment.Experiment, experiment.Progress) (*experiment.Result, error)
-	estimate       func(*experiment.Experiment) int64 // bytes that a run needs
-	memory         func() int64                       // bytes that the machine has
+	terminal       bool // standard error is a terminal
+	runExperiment  func(context.Context, *experiment.Experiment, experiment.Progress) (*experiment.Result, error)
+	estimateMemory func(*experiment.Experiment) int64 // memory that a run needs, in bytes
+	totalMemory    func() int64                       // memory of the machine in bytes, 0 if unknown
 	version        string
 }
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	context.AfterFunc(ctx, stop) // a second signal ends the program at once
-	l := lab{stdout: os.Stdout, stderr: os.Stderr, terminal: isatty.IsTerminal(os.Stderr.Fd()), play: fleet.Run,
-		estimate: fleet.Estimate, memory: memory, version: version()}
-	os.Exit(l.main(ctx, os.Args[1:]))
+	context.AfterFunc(ctx, stop) // restores the default handling: a second signal kills the program
+	a := app{stdout: os.Stdout, stderr: os.Stderr, terminal: isatty.IsTerminal(os.Stderr.Fd()), runExperiment: fleet.Run,
+		estimateMemory: fleet.Estimate, totalMemory: totalMemory, version: version()}
+	os.Exit(a.main(ctx, os.Args[1:]))
 }
 
 // main runs one command line and returns its exit code.
-func (l *lab) main(ctx context.Context, args []string) int {
-	con := &console{out: l.stderr}
+func (a *app) main(ctx context.Context, args []string) int {
+	con := &console{out: a.stderr}
 	if len(args) > 0 && args[0] == "help" {
 		args = append(args[1:len(args):len(args)], "--help")
 	}
 	var opt options
 	exited := false
-	parser, err := kong.New(&opt, kong.Name("fleetlab"), kong.Description(description), kong.Writers(l.stdout, l.stderr),
+	parser, err := kong.New(&opt, kong.Name("fleetlab"), kong.Description(description), kong.Writers(a.stdout, a.stderr),
 		kong.Exit(func(int) { exited = true }), kong.ConfigureHelp(kong.HelpOptions{Compact: true}))
 	if err != nil {
-		panic(err) // the struct above is at fault
+		panic(err) // the tags of options are invalid
 	}
 	cmd, err := parser.Parse(args)
-	if exited { // by --help, which has printed
+	if exited { // by --help, which has printed the help
 		return exitDone
 	}
 	if err != nil {
@@ -104,13 +104,13 @@
 	log := opt.logger(con)
 	switch cmd.Command() {
 	case "run <file>":
-		err = l.run(ctx, &opt, con, log)
+		err = a.run(ctx, &opt, con, log)
 	case "check <file>":
-		err = l.check(&opt)
+		err = a.check(&opt)
 	case "example":
-		_, err = io.WriteString(l.stdout, experiment.Example)
+		_, err = io.WriteString(a.stdout, experiment.Example)
 	case "version":
-		_, err = fmt.Fprintln(l.stdout, "fleetlab", l.version)
+		_, err = fmt.Fprintln(a.stdout, "fleetlab", a.version)
 	}
 	if err == nil {
 		return exitDone
@@ -119,7 +119,7 @@
 	switch {
 	case opt.LogFormat == "json":
 		log.Error(oneLine(err))
-	case errors.As(err, &bad): // begins with file and line, as editors and the like know it
+	case errors.As(err, &bad): // begins with file and line, the format that editors recognize
 		fmt.Fprintln(con, oneLine(err))
 	default:
 		fmt.Fprintln(con, "fleetlab:", oneLine(err))
@@ -127,25 +127,25 @@
 	switch {
 	case errors.Is(err, context.Canceled):
 		return exitInterrupted
-	case errors.As(err, &bad) || errors.Is(err, errInput):
+	case errors.As(err, &bad) || errors.Is(err, errBadInput):
 		return exitBadInput
 	}
 	return exitFailed
 }
 
-// errInput marks errors of what the user gave, apart from those in an experiment's file.
-var errInput = errors.New("bad input")
+// errBadInput marks errors in the user's input, except those in experiment files.
+var errBadInput = errors.New("bad input")
 
-// badInput is an error of what the user gave.
-func badInput(format string, args ...any) error {
+// badInputf returns an error that matches errBadInput.
+func badInputf(format string, args ...any) error {
 	return inputError{fmt.Errorf(format, args...)}
 }
 
 type inputError struct{ error }
 
-func (inputError) Is(target error) bool { return target == errInput }
+func (inputError) Is(target error) bool { return target == errBadInput }
 
-// oneLine is an error's text without what would break or spoil a line.
+// oneLine returns the text of err with control characters replaced by spaces.
 func oneLine(err error) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
@@ -155,7 +155,7 @@
 	}, strings.TrimSpace(err.Error()))
 }
 
-// logger is the log that the options ask for.
+// logger returns a logger with the configured format and level.
 func (o *options) logger(w io.Writer) *slog.Logger {
 	var level slog.Level
 	if err := level.UnmarshalText([]byte(o.LogLevel)); err != nil || o.Quiet {
@@ -168,16 +168,16 @@
 	return slog.New(slog.NewTextHandler(w, set))
 }
 
-// version names the revision and the Go release that built the program.
+// version returns the revision of the program and the Go release that built it.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	return versionOf(info)
+	return formatVersion(info)
 }
 
-func versionOf(info *debug.BuildInfo) string {
+func formatVersion(info *debug.BuildInfo) string {
 	revision, dirty := "unknown", ""
 	for _, s := range info.Settings {
 		switch {
@@ -190,8 +190,8 @@
 	return revision + dirty + " " + info.GoVersion
 }
 
-// memory is the machine's, in bytes; 0 if it does not tell.
-func memory() int64 {
+// totalMemory returns the memory of the machine in bytes, or 0 if it is unknown.
+func totalMemory() int64 {
 	var info syscall.Sysinfo_t
 	if err := syscall.Sysinfo(&info); err != nil {
 		return 0
--- a/cmd/fleetlab/markdown.go
+++ b/cmd/fleetlab/markdown.go
@@ -15,46 +15,47 @@
 	"forkline/internal/experiment"
 )
 
-// maxRows bounds the table of services; those that serve worst are shown.
-const maxRows = 20
+// maxServiceRows limits the table of services to those with the lowest share of calls in time.
+const maxServiceRows = 20
 
-// markdown tells results to people: all runs, and of each its services, its faults and its control traffic.
+// markdown formats results as Markdown: a table of all runs, and for each run its services, faults, violations and control
+// traffic.
 func markdown(results []*experiment.Result) []byte {
 	var b bytes.Buffer
 	var rows [][]string
 	for _, r := range results {
 		rows = append(rows, append([]string{r.Name, strconv.FormatUint(r.Seed, 10)}, append(callCells(r.Calls),
-			strconv.Itoa(r.Processes), figure(r.Virtual), figure(r.Real), figure(r.HeapMB), figure(r.PerKB))...))
+			strconv.Itoa(r.Processes), formatFigure(r.Virtual), formatFigure(r.Real), formatFigure(r.HeapMB), formatFigure(r.PerKB))...))
 	}
-	table(&b, append(append([]string{"run", "seed"}, callHeads...), "sidecars", "virtual s", "real s", "heap MB", "KB each"), rows)
+	writeTable(&b, append(append([]string{"run", "seed"}, callHeadings...), "sidecars", "virtual s", "real s", "heap MB", "KB each"), rows)
 	for _, r := range results {
-		one(&b, r)
+		writeRun(&b, r)
 	}
 	return b.Bytes()
 }
 
-// one tells one run.
-func one(b *bytes.Buffer, r *experiment.Result) {
+// writeRun writes the section of one run.
+func writeRun(b *bytes.Buffer, r *experiment.Result) {
 	fmt.Fprintf(b, "\n## %s, seed %d\n\nPlayed by %s. Times are in ms.", r.Name, r.Seed, r.Version)
 	if n := len(r.Thinned); n > 0 {
 		shares := slices.Sorted(maps.Values(r.Thinned))
-		fmt.Fprintf(b, " Thinned services: %d, of whose calls %s to %s are played.", n, figure(shares[0]), figure(shares[n-1]))
+		fmt.Fprintf(b, " Thinned services: %d, of whose calls %s to %s are played.", n, formatFigure(shares[0]), formatFigure(shares[n-1]))
 	}
 	b.WriteString("\n\n")
 
 	services := slices.Clone(r.Services)
-	if len(services) > maxRows {
+	if len(services) > maxServiceRows {
 		slices.SortStableFunc(services, func(x, y experiment.ServiceResult) int {
-			return cmp.Compare(inTime(x.Calls), inTime(y.Calls))
+			return cmp.Compare(inTimeShare(x.Calls), inTimeShare(y.Calls))
 		})
-		fmt.Fprintf(b, "The %d of %d services that serve fewest of their calls in time:\n\n", maxRows, len(services))
-		services = services[:maxRows]
+		fmt.Fprintf(b, "The %d of %d services that serve fewest of their calls in time:\n\n", maxServiceRows, len(services))
+		services = services[:maxServiceRows]
 	}
 	var rows [][]string
 	for _, s := range services {
-		rows = append(rows, append(append([]string{s.Name}, callCells(s.Calls)...), strconv.Itoa(s.Falls), figure(s.WorstCold)))
+		rows = append(rows, append(append([]string{s.Name}, callCells(s.Calls)...), strconv.Itoa(s.Falls), formatFigure(s.WorstCold)))
 	}
-	table(b, append(append([]string{"service"}, callHeads...), "falls", "worst cold"), rows)
+	writeTable(b, append(append([]string{"service"}, callHeadings...), "falls", "worst cold"), rows)
 
 	if len(r.Faults) > 0 {
 		b.WriteString("\n")
@@ -62,66 +63,66 @@
 		for _, f := range r.Faults {
 			recovered := "not in this run"
 			if f.Recovered >= 0 {
-				recovered = figure(f.Recovered)
+				recovered = formatFigure(f.Recovered)
 			}
-			rows = append(rows, []string{f.Fault, seconds(f.At), count(f.Lost), recovered, count(f.ListCalls), figure(f.ToldMax)})
+			rows = append(rows, []string{f.Fault, formatMillis(f.At), formatCount(f.Lost), recovered, formatCount(f.ListCalls), formatFigure(f.ToldMax)})
 		}
-		table(b, []string{"fault", "at", "lost", "recovered after", "list calls", "last told"}, rows)
+		writeTable(b, []string{"fault", "at", "lost", "recovered after", "list calls", "last told"}, rows)
 	}
 
 	b.WriteString("\n")
-	table(b, []string{"what must not happen", "count"}, [][]string{
-		{"cold endpoints that fell", count(r.Rules.ColdFalls)},
-		{"sends to draining endpoints past the grace", count(r.Rules.DrainingSends)},
-		{"unsafe calls run again", count(r.Rules.UnsafeRepeats)},
-		{"calls never answered", count(r.Rules.NoAnswer)},
-		{"calls answered twice", count(r.Rules.TwoAnswers)},
-		{"calls answered by the sidecar for the module", count(r.Rules.Backstops)},
+	writeTable(b, []string{"what must not happen", "count"}, [][]string{
+		{"cold endpoints that fell", formatCount(r.Rules.ColdFalls)},
+		{"sends to draining endpoints past the grace", formatCount(r.Rules.DrainingSends)},
+		{"unsafe calls run again", formatCount(r.Rules.UnsafeRepeats)},
+		{"calls never answered", formatCount(r.Rules.NoAnswer)},
+		{"calls answered twice", formatCount(r.Rules.TwoAnswers)},
+		{"calls answered by the sidecar for the module", formatCount(r.Rules.Backstops)},
 	})
 
 	c := r.Control
 	b.WriteString("\n")
-	table(b, []string{"control", "figure"}, [][]string{
-		{"calls a second at discovery, mean", figure(c.CallsPerSecond)},
-		{"calls a second at discovery, peak", figure(c.PeakCallsPerSecond)},
-		{"calls refused by discovery", count(c.RefusedCalls)},
-		{"discovery busy, share", figure(c.DiscoveryBusy)},
+	writeTable(b, []string{"control", "figure"}, [][]string{
+		{"calls a second at discovery, mean", formatFigure(c.CallsPerSecond)},
+		{"calls a second at discovery, peak", formatFigure(c.PeakCallsPerSecond)},
+		{"calls refused by discovery", formatCount(c.RefusedCalls)},
+		{"discovery busy, share", formatFigure(c.DiscoveryBusy)},
 		{"calls waiting at discovery, most", strconv.Itoa(c.PeakQueue)},
-		{"bytes a second, a sidecar", figure(c.SidecarBytesPerSecond)},
-		{"bytes a second, discovery", figure(c.DiscoveryBytesPerSecond)},
-		{"module, us a call", figure(c.ModuleMicrosPerCall)},
-		{"module, us a list", figure(c.ModuleMicrosPerList)},
-		{"change in force everywhere, p50", figure(c.SpreadP50)},
-		{"change in force everywhere, p99", figure(c.SpreadP99)},
-		{"change in force everywhere, most", figure(c.SpreadMax)},
-		{"changes not in force everywhere at the end", count(c.Unspread)},
-		{"last told after discovery's return", figure(c.ToldMax)},
+		{"bytes a second, a sidecar", formatFigure(c.SidecarBytesPerSecond)},
+		{"bytes a second, discovery", formatFigure(c.DiscoveryBytesPerSecond)},
+		{"module, us a call", formatFigure(c.ModuleMicrosPerCall)},
+		{"module, us a list", formatFigure(c.ModuleMicrosPerList)},
+		{"change in force everywhere, p50", formatFigure(c.SpreadP50)},
+		{"change in force everywhere, p99", formatFigure(c.SpreadP99)},
+		{"change in force everywhere, most", formatFigure(c.SpreadMax)},
+		{"changes not in force everywhere at the end", formatCount(c.Unspread)},
+		{"last told after discovery's return", formatFigure(c.ToldMax)},
 	})
 }
 
-var callHeads = []string{"asked", "in time", "refused", "failed", "late", "p50", "p99", "p99.9", "added p99"}
+var callHeadings = []string{"asked", "in time", "refused", "failed", "late", "p50", "p99", "p99.9", "added p99"}
 
 func callCells(c experiment.Calls) []string {
 	share := "-"
 	if c.Asked > 0 {
-		share = fmt.Sprintf("%.2f %%", math.Floor(1e4*inTime(c))/100) // 100 only where all were
+		share = fmt.Sprintf("%.2f %%", math.Floor(1e4*inTimeShare(c))/100) // rounded down, so that 100 means all
 	}
-	return []string{count(c.Asked), share, count(c.Refused), count(c.Failed), count(c.Late),
-		figure(c.P50), figure(c.P99), figure(c.P999), figure(c.AddedP99)}
+	return []string{formatCount(c.Asked), share, formatCount(c.Refused), formatCount(c.Failed), formatCount(c.Late),
+		formatFigure(c.P50), formatFigure(c.P99), formatFigure(c.P999), formatFigure(c.AddedP99)}
 }
 
-// inTime is the share of calls that were served in time; 1 if there were none.
-func inTime(c experiment.Calls) float64 {
+// inTimeShare returns the share of calls that were served in time, or 1 if there were no calls.
+func inTimeShare(c experiment.Calls) float64 {
 	if c.Asked == 0 {
 		return 1
 	}
 	return float64(c.InTime) / float64(c.Asked)
 }
 
-func count(n int64) string { return strconv.FormatInt(n, 10) }
+func formatCount(n int64) string { return strconv.FormatInt(n, 10) }
 
-// figure shows three digits or so.
-func figure(x float64) string {
+// formatFigure formats x with about three significant digits.
+func formatFigure(x float64) string {
 	switch {
 	case x >= 100 || x <= -100 || x == 0:
 		return strconv.FormatFloat(x, 'f', 0, 64)
@@ -131,20 +132,20 @@
 	return strconv.FormatFloat(x, 'g', 3, 64)
 }
 
-func seconds(ms float64) string {
+func formatMillis(ms float64) string {
 	return (time.Duration(ms) * time.Millisecond).String()
 }
 
-// table writes one in Markdown, its columns aligned.
-func table(b *bytes.Buffer, heads []string, rows [][]string) {
+// writeTable writes a Markdown table with aligned columns.
+func writeTable(b *bytes.Buffer, headings []string, rows [][]string) {
 	w := tabwriter.NewWriter(b, 0, 0, 1, ' ', 0)
-	line := func(cells []string) { fmt.Fprintf(w, "| %s\t|\n", strings.Join(cells, "\t| ")) }
-	line(heads)
-	rule := slices.Repeat([]string{"---:"}, len(heads))
-	rule[0] = "---"
-	line(rule)
+	writeRow := func(cells []string) { fmt.Fprintf(w, "| %s\t|\n", strings.Join(cells, "\t| ")) }
+	writeRow(headings)
+	separator := slices.Repeat([]string{"---:"}, len(headings))
+	separator[0] = "---"
+	writeRow(separator)
 	for _, r := range rows {
-		line(r)
+		writeRow(r)
 	}
-	w.Flush() // into memory, which cannot fail
+	w.Flush() // writing to a bytes.Buffer cannot fail
 }
--- a/cmd/fleetlab/output.go
+++ b/cmd/fleetlab/output.go
@@ -9,51 +9,51 @@
 	"path/filepath"
 )
 
-// output is where results go: nowhere, to a stream, or to a file that has its name only once it is whole.
+// output is a destination of results: none, a stream, or a file that appears under its final name only when it is complete.
 type output struct {
-	w     io.Writer // nil = nowhere
-	file  *os.File  // nil = a stream
-	final string    // the name that it gets
+	w         io.Writer // nil for no output
+	file      *os.File  // nil for a stream
+	finalPath string    // path that commit renames the file to
 }
 
-// createFile opens a file of another name, which ends in kind, beside path. An older file at path stays until keep.
-func createFile(path, kind string) (*output, error) {
-	final, mode := path, fs.FileMode(0o666)
+// createFile opens a temporary file, whose name ends in suffix, beside path. An existing file at path stays until commit.
+func createFile(path, suffix string) (*output, error) {
+	finalPath, mode := path, fs.FileMode(0o666)
 	switch info, err := os.Stat(path); {
 	case err == nil && info.IsDir():
 		return nil, errors.New("is a directory")
 	case err == nil && !info.Mode().IsRegular():
 		return nil, errors.New("is not a regular file; standard output is -")
 	case err == nil:
-		old, err := os.OpenFile(path, os.O_WRONLY, 0) // a file that may not be written is not replaced either
+		existing, err := os.OpenFile(path, os.O_WRONLY, 0) // a file without write permission must not be replaced
 		if err != nil {
-			return nil, pathless(err)
+			return nil, withoutPath(err)
 		}
-		old.Close()
+		existing.Close()
 		mode = info.Mode().Perm()
-		if final, err = filepath.EvalSymlinks(path); err != nil {
-			return nil, pathless(err)
+		if finalPath, err = filepath.EvalSymlinks(path); err != nil {
+			return nil, withoutPath(err)
 		}
 	default:
 		if _, err := os.Lstat(path); err == nil {
 			return nil, errors.New("is a link to nothing")
 		}
 	}
-	final, err := filepath.Abs(final)
+	finalPath, err := filepath.Abs(finalPath)
 	if err != nil {
 		return nil, err
 	}
-	dir, base := filepath.Split(final)
-	temp := filepath.Join(dir, fmt.Sprintf(".%s.%d.%s", base, os.Getpid(), kind))
+	dir, base := filepath.Split(finalPath)
+	temp := filepath.Join(dir, fmt.Sprintf(".%s.%d.%s", base, os.Getpid(), suffix))
 	f, err := os.OpenFile(temp, os.O_WRONLY|os.O_CREATE|os.O_EXCL, mode)
 	if err != nil {
-		return nil, pathless(err)
+		return nil, withoutPath(err)
 	}
-	return &output{w: f, file: f, final: final}, nil
+	return &output{w: f, file: f, finalPath: finalPath}, nil
 }
 
-// pathless is an error without the path that it names.
-func pathless(err error) error {
+// withoutPath returns err without the path that it contains.
+func withoutPath(err error) error {
 	if inner := (*fs.PathError)(nil); errors.As(err, &inner) {
 		return inner.Err
 	}
@@ -70,7 +70,7 @@
 	return nil
 }
 
-// sync has all that was written on the disk.
+// sync flushes the file to disk.
 func (o *output) sync() error {
 	if o.file == nil {
 		return nil
@@ -81,15 +81,15 @@
 	return nil
 }
 
-// keep gives the file its name.
-func (o *output) keep() error {
+// commit closes the file and renames it to its final path.
+func (o *output) commit() error {
 	if o.file == nil {
 		return nil
 	}
 	temp := o.file.Name()
 	err := o.file.Close()
 	if err == nil {
-		err = os.Rename(temp, o.final)
+		err = os.Rename(temp, o.finalPath)
 	}
 	if err != nil {
 		return errors.Join(fmt.Errorf("results: %w", err), os.Remove(temp))
@@ -98,7 +98,7 @@
 	return nil
 }
 
-// discard removes a file that was not kept.
+// discard removes a file that was not committed.
 func (o *output) discard() {
 	if o.file != nil {
 		o.file.Close()
