--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -216,7 +216,7 @@
 		}
 	}
 	if fmt.Sprint(seen) != want {
-		t.Errorf("lines of runs %q, want %s", seen, want)
+		t.Errorf("lines of runs %q", seen)
 	}
 	if info, err := os.Stat(out); err != nil || info.Mode().Perm() != 0o640 {
 		t.Errorf("mode %v, error %v", info.Mode(), err)
--- a/internal/experiment/check.go
+++ b/internal/experiment/check.go
@@ -25,8 +25,8 @@
 
 // rule holds the inclusive bounds of a key's value and its default. Times are in seconds.
 type rule struct {
-	min, max, defaultValue float64
-	required               bool
+	lower, upper, defaultValue float64
+	required                   bool
 }
 
 const hour = 3600.0
@@ -228,9 +228,9 @@
 	default:
 		x = float64(v.Int())
 	}
-	lower, upper := math.Round(r.min*unit), math.Round(r.max*unit)
+	lo, hi := math.Round(r.lower*unit), math.Round(r.upper*unit)
 	if unit == 1 {
-		lower, upper = r.min, r.max
+		lo, hi = r.lower, r.upper
 	}
 	switch {
 	case math.IsNaN(x):
@@ -239,10 +239,10 @@
 		c.addErrorf(path, "is infinite")
 	case x < 0:
 		c.addErrorf(path, "%s is negative", format(x))
-	case x < lower:
-		c.addErrorf(path, "%s is under %s", format(x), format(lower))
-	case x > upper:
-		c.addErrorf(path, "%s is over %s", format(x), format(upper))
+	case x < lo:
+		c.addErrorf(path, "%s is under %s", format(x), format(lo))
+	case x > hi:
+		c.addErrorf(path, "%s is over %s", format(x), format(hi))
 	}
 }
 
--- a/internal/experiment/read_test.go
+++ b/internal/experiment/read_test.go
@@ -263,8 +263,8 @@
 		}
 		if b := bounds.FindStringSubmatch(m[2]); b != nil {
 			checked++
-			if !almostEqual(value(b[1]), r.min) || !almostEqual(value(b[2]), r.max) {
-				t.Errorf("%s: the example says %q, the range is %v to %v", pattern, m[2], r.min, r.max)
+			if !almostEqual(value(b[1]), r.lower) || !almostEqual(value(b[2]), r.upper) {
+				t.Errorf("%s: the example says %q, the range is %v to %v", pattern, m[2], r.lower, r.upper)
 			}
 		}
 		if d := defaultValue.FindStringSubmatch(m[2]); d != nil && pattern != "fault.count" && pattern != "fault.factor" {
