--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -2,69 +2,69 @@
 // each waits for its answer, when a watch counts as dead, and what a move of the service changes. It is sans-I/O:
 // a Watcher turns events into actions, and its host makes the calls and keeps the time.
 //
-// Where the list is asked for, the host says when to call (EvAsk); where it is pushed, the Watcher calls by itself from
-// EvFollow on. A call that waits is never the only hope: once overdue it counts as failed, so that another is begun
-// beside it, and the first of them to be answered is the watch.
+// Where the list is polled, the host decides when to call (EvPoll). Where it is pushed, the Watcher starts calls by itself
+// from EvStart on. A call that exceeds SoftTimeout counts as failed, so that another one is started beside it. The first
+// call that is answered becomes the watch.
 package listwatch
 
 import "time"
 
-// Policy holds the times of one way to follow a list.
+// Policy holds the timeouts of one way to watch a list.
 type Policy struct {
-	Silence time.Duration // a watch without a sign of life for so long is dead
-	Dial    time.Duration // a connection has to be up within
-	Overdue time.Duration // an unanswered call counts as failed then, and waits on beside the next
-	GiveUp  time.Duration // an unanswered call ends then, unless it is the oldest one out
-	Hold    time.Duration // and the oldest ends then: where calls are handled in turn, its turn comes first
-	Pause   time.Duration // pushed only: from a failure to the next call, give or take a half
+	SilenceTimeout    time.Duration // a watch without any activity for this long is dead
+	DialTimeout       time.Duration // a connection must be established within this time
+	SoftTimeout       time.Duration // an unanswered call counts as failed after this time, but continues beside the next call
+	CallTimeout       time.Duration // an unanswered call is cancelled after this time, unless it is the oldest one in flight
+	OldestCallTimeout time.Duration // the oldest call is cancelled after this time; a server that handles calls in order answers it first
+	RetryDelay        time.Duration // push only: mean delay from a failure to the next call, with a jitter of half of it either way
 }
 
-// Asked is the policy where discovery is asked. A watch beats every 2 s, and what a silent one misses counts as told
-// 6 s after. A call that hangs is overdue with time left for another; sooner, calls that wait their turn would be
-// repeated, which a crowded discovery cannot bear.
-var Asked = Policy{
-	Silence: 3 * time.Second, Dial: 2 * time.Second, Overdue: 1700 * time.Millisecond,
-	GiveUp: 8 * time.Second, Hold: 30 * time.Second,
+// PollPolicy is the policy for a discovery service that is polled. A watch sends a heartbeat every 2 s, and a change
+// counts as notified 6 s after a silent watch misses it. SoftTimeout leaves time for a second call after one that
+// hangs. A shorter one would repeat calls that wait in the queue of an overloaded discovery service.
+var PollPolicy = Policy{
+	SilenceTimeout: 3 * time.Second, DialTimeout: 2 * time.Second, SoftTimeout: 1700 * time.Millisecond,
+	CallTimeout: 8 * time.Second, OldestCallTimeout: 30 * time.Second,
 }
 
-// Pushed is the policy where an agent pushes. What the agent has counts as told at once, whether or not a watch is open:
-// it is nearby, and serves at once or not at all.
-var Pushed = Policy{
-	Silence: 3 * time.Second, Dial: 500 * time.Millisecond, Overdue: 500 * time.Millisecond,
-	GiveUp: 4 * time.Second, Hold: 30 * time.Second, Pause: 200 * time.Millisecond,
+// PushPolicy is the policy for an agent that pushes the list. A change that the agent has counts as notified at once,
+// whether or not a watch is open. The agent is nearby and answers immediately or not at all.
+var PushPolicy = Policy{
+	SilenceTimeout: 3 * time.Second, DialTimeout: 500 * time.Millisecond, SoftTimeout: 500 * time.Millisecond,
+	CallTimeout: 4 * time.Second, OldestCallTimeout: 30 * time.Second, RetryDelay: 200 * time.Millisecond,
 }
 
-// EventKind tells what a Watcher hears.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
-// The events.
+// The kinds of event.
 const (
-	EvAsk      EventKind = iota + 1 // the list is to be watched; nothing to do if it is, where discovery is now
-	EvFollow                        // the list is to be watched from now on
-	EvAnswered                      // Call: it was answered, and is a watch from now on
-	EvAlive                         // Call: a whole object or a beat came on it
-	EvEnded                         // Call: it failed, or its watch broke
-	EvMoved                         // the next calls go to another address
-	EvTick                          // time has passed
+	EvPoll           EventKind = iota + 1 // ensure that the list is watched at the current discovery address
+	EvStart                               // keep the list watched from now on
+	EvAnswered                            // Call: the call was answered and is the current watch from now on
+	EvActivity                            // Call: a complete object or a heartbeat was received
+	EvCallEnded                           // Call: the call failed, or its watch broke
+	EvAddressChanged                      // the next calls go to another address
+	EvTick                                // a time returned by NextTick has come
 )
 
-// Event is one of them. Calls are numbered from 1 in the order in which they are begun.
+// Event is one input of a Watcher. Calls are numbered from 1 in the order in which they are started.
 type Event struct {
 	Kind EventKind
 	Call int
 }
 
-// ActionKind tells what a Watcher asks of its host.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// The actions.
+// The kinds of action.
 const (
-	ActCall   ActionKind = iota + 1 // Call: begin it, where discovery is now
-	ActDrop                         // Call: end it, whether answered or not; its EvEnded may come or not
-	ActFailed                       // there is no watch, and the latest call is not to be waited for
+	ActStartCall     ActionKind = iota + 1 // Call: start it at the current discovery address
+	ActCancelCall                          // Call: cancel it, answered or not; its EvCallEnded may or may not follow
+	ActReportFailure                       // Call: there is no watch, and the latest call has failed or is overdue
 )
 
-// Action is one of them.
+// Action is one instruction of a Watcher to its host.
 type Action struct {
 	Kind ActionKind
 	Call int
@@ -76,7 +76,7 @@
 	begun  time.Duration
 }
 
-// Watcher follows one list. Times are since any fixed moment and do not run backwards.
+// Watcher keeps one list watched. Times are relative to any fixed point in time and must not decrease.
 type Watcher struct {
 	policy  Policy
 	random  func() float64 // the next number in [0, 1)
@@ -94,34 +94,34 @@
 	again   bool
 }
 
-// NewWatcher returns one that has no call out.
+// NewWatcher returns a Watcher without calls in flight.
 func NewWatcher(p Policy, random func() float64) *Watcher { return &Watcher{policy: p, random: random} }
 
-// Watching is the number of the call that is listened to; 0 if there is none.
-func (w *Watcher) Watching() int { return w.watch }
+// ActiveCall returns the number of the call that is the current watch, or 0 if there is none.
+func (w *Watcher) ActiveCall() int { return w.watch }
 
-// Handle takes one event and appends the actions that answer it.
+// Handle processes one event and appends the resulting actions to actions.
 func (w *Watcher) Handle(now time.Duration, ev Event, actions []Action) []Action {
 	w.now, w.acts = max(w.now, now), actions
 	switch ev.Kind {
-	case EvAsk:
+	case EvPoll:
 		if w.watch == 0 || w.moved {
 			w.begin()
 		}
-	case EvFollow:
+	case EvStart:
 		if !w.follows {
 			w.follows = true
 			w.begin()
 		}
 	case EvAnswered:
 		w.answered(ev.Call)
-	case EvAlive:
+	case EvActivity:
 		if ev.Call == w.watch {
 			w.signAt = w.now
 		}
-	case EvEnded:
+	case EvCallEnded:
 		w.ended(ev.Call)
-	case EvMoved:
+	case EvAddressChanged:
 		w.dropCalls()
 		w.moved, w.again = w.watch != 0, false
 		if w.follows {
@@ -133,20 +133,20 @@
 	return w.acts
 }
 
-// Next is when the Watcher has to hear EvTick, unless an event comes before; ok is false if it need not.
-func (w *Watcher) Next() (at time.Duration, ok bool) {
+// NextTick returns the time at which EvTick is due unless another event comes first; ok is false if none is due.
+func (w *Watcher) NextTick() (at time.Duration, ok bool) {
 	earliest := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
 	if w.watch != 0 {
-		earliest(w.signAt + w.policy.Silence)
+		earliest(w.signAt + w.policy.SilenceTimeout)
 	}
 	for i, c := range w.calls {
 		earliest(c.begun + w.patience(i))
 		if c.number == w.latest && !w.failed {
-			earliest(c.begun + w.policy.Overdue)
+			earliest(c.begun + w.policy.SoftTimeout)
 		}
 	}
 	if w.again {
@@ -158,9 +158,9 @@
 // patience is how long a waiting call may go on.
 func (w *Watcher) patience(place int) time.Duration {
 	if place == 0 {
-		return w.policy.Hold
+		return w.policy.OldestCallTimeout
 	}
-	return w.policy.GiveUp
+	return w.policy.CallTimeout
 }
 
 func (w *Watcher) act(kind ActionKind, call int) {
@@ -171,7 +171,7 @@
 	w.begun++
 	w.latest, w.failed, w.again = w.begun, false, false
 	w.calls = append(w.calls, call{w.begun, w.now})
-	w.act(ActCall, w.begun)
+	w.act(ActStartCall, w.begun)
 }
 
 // answered makes a call the watch; whatever else is out has become needless.
@@ -181,7 +181,7 @@
 	}
 	w.dropCalls()
 	if w.watch != 0 {
-		w.act(ActDrop, w.watch)
+		w.act(ActCancelCall, w.watch)
 	}
 	w.watch, w.moved, w.signAt = number, false, w.now
 	w.latest, w.failed, w.again = number, false, false
@@ -205,24 +205,24 @@
 		return
 	}
 	w.failed = true
-	w.act(ActFailed, w.latest)
+	w.act(ActReportFailure, w.latest)
 	if w.follows {
-		w.again, w.next = true, w.now+w.policy.Pause/2+time.Duration(w.random()*float64(w.policy.Pause))
+		w.again, w.next = true, w.now+w.policy.RetryDelay/2+time.Duration(w.random()*float64(w.policy.RetryDelay))
 	}
 }
 
 func (w *Watcher) tick() {
-	if w.watch != 0 && w.now >= w.signAt+w.policy.Silence {
-		w.act(ActDrop, w.watch)
+	if w.watch != 0 && w.now >= w.signAt+w.policy.SilenceTimeout {
+		w.act(ActCancelCall, w.watch)
 		w.ended(w.watch)
 	}
 	for i := 0; i < len(w.calls); i++ {
 		c := w.calls[i]
-		if c.number == w.latest && w.now >= c.begun+w.policy.Overdue {
+		if c.number == w.latest && w.now >= c.begun+w.policy.SoftTimeout {
 			w.fail()
 		}
 		if w.now >= c.begun+w.patience(i) {
-			w.act(ActDrop, c.number)
+			w.act(ActCancelCall, c.number)
 			w.ended(c.number)
 			i--
 		}
@@ -234,7 +234,7 @@
 
 func (w *Watcher) dropCalls() {
 	for _, c := range w.calls {
-		w.act(ActDrop, c.number)
+		w.act(ActCancelCall, c.number)
 	}
 	w.calls = w.calls[:0]
 }
