--- a/cmd/fleetlab/fleet_test.go
+++ b/cmd/fleetlab/fleet_test.go
@@ -64,10 +64,10 @@
 		if err := json.Unmarshal(line, &r); err != nil {
 			t.Fatal(err)
 		}
-		if r.Processes != 20 || r.Calls.Asked == 0 || len(r.Series) != 60 || len(r.Faults) != 1 {
+		if r.Sidecars != 20 || r.Calls.Offered == 0 || len(r.Series) != 60 || len(r.Faults) != 1 {
 			t.Errorf("result %s", line)
 		}
-		r.Seed, r.Real, r.HeapMB, r.PerKB, r.Control.ModuleMicrosPerCall, r.Control.ModuleMicrosPerList = 0, 0, 0, 0, 0, 0
+		r.Seed, r.RealSeconds, r.PeakHeapMB, r.HeapPerSidecarKB, r.Control.ModuleMicrosPerCall, r.Control.ModuleMicrosPerList = 0, 0, 0, 0, 0, 0
 		text, err := json.Marshal(r)
 		if err != nil {
 			t.Fatal(err)
--- a/cmd/fleetlab/main_test.go
+++ b/cmd/fleetlab/main_test.go
@@ -29,7 +29,7 @@
 func newTestApp() *testApp {
 	b := &testApp{}
 	b.app = app{stdout: &b.stdout, stderr: &b.stderr, totalMemory: func() int64 { return 16 << 30 }, version: "abc go1",
-		estimateMemory: func(e *experiment.Experiment) int64 { return int64(e.Endpoints()) << 20 },
+		estimateMemory: func(e *experiment.Experiment) int64 { return int64(e.NumEndpoints()) << 20 },
 		runExperiment: func(ctx context.Context, e *experiment.Experiment, p experiment.Progress) (*experiment.Result, error) {
 			b.runs = append(b.runs, fmt.Sprint(e.Name, " ", e.Seed))
 			p(time.Second, 4*time.Second)
@@ -40,13 +40,13 @@
 
 // sampleResult returns a plausible result of a run.
 func sampleResult(e *experiment.Experiment) *experiment.Result {
-	calls := experiment.Calls{Asked: 1000, Served: 990, InTime: 975, Refused: 6, Failed: 4, Late: 15, P50: 12.34, P99: 123.4, P999: 456}
-	return &experiment.Result{Name: e.Name, Seed: e.Seed, Virtual: 60, Real: 1.5, HeapMB: 20, Processes: 14, PerKB: 1463,
-		Thinned: map[string]float64{"svc-1": 0.02}, Calls: calls,
-		Services: []experiment.ServiceResult{{Name: "svc-0", Calls: calls, WorstCold: 0.5}, {Name: "svc-1", Falls: 1}},
-		Faults: []experiment.FaultResult{{Fault: "machine svc-1", At: 10_000, Lost: 7, Recovered: 1500, ListCalls: 3},
-			{Fault: "down", At: 30_500, Recovered: -1}},
-		Series: []experiment.Second{{At: 0, Asked: 16}}}
+	calls := experiment.Calls{Offered: 1000, Served: 990, InTime: 975, Refused: 6, Failed: 4, Late: 15, P50: 12.34, P99: 123.4, P999: 456}
+	return &experiment.Result{Name: e.Name, Seed: e.Seed, VirtualSeconds: 60, RealSeconds: 1.5, PeakHeapMB: 20, Sidecars: 14, HeapPerSidecarKB: 1463,
+		SimulatedShares: map[string]float64{"svc-1": 0.02}, Calls: calls,
+		Services: []experiment.ServiceResult{{Name: "svc-0", Calls: calls, WorstColdRatio: 0.5}, {Name: "svc-1", ColdCrashes: 1}},
+		Faults: []experiment.FaultResult{{Fault: "machine svc-1", At: 10_000, LostCalls: 7, RecoveryTime: 1500, ListCalls: 3},
+			{Fault: "down", At: 30_500, RecoveryTime: -1}},
+		Series: []experiment.Second{{At: 0, Offered: 16}}}
 }
 
 // writeTempFile writes a file in a new directory and returns its path.
@@ -267,7 +267,7 @@
 // The share of calls in time is rounded down: "100.00 %" appears only if all calls are in time.
 func TestInTimeShareIsNotRoundedUp(t *testing.T) {
 	for inTime, want := range map[int64]string{1_000_000: "100.00 %", 999_999: "99.99 %", 975_000: "97.50 %", 0: "0.00 %"} {
-		if got := callCells(experiment.Calls{Asked: 1_000_000, InTime: inTime})[1]; got != want {
+		if got := callCells(experiment.Calls{Offered: 1_000_000, InTime: inTime})[1]; got != want {
 			t.Errorf("%d of a million calls: %s, want %s", inTime, got, want)
 		}
 	}
@@ -277,7 +277,7 @@
 func TestTableOfManyServicesIsTruncated(t *testing.T) {
 	r := &experiment.Result{Name: "x"}
 	for i := range int64(98) {
-		r.Services = append(r.Services, experiment.ServiceResult{Name: fmt.Sprintf("svc-%d", i), Calls: experiment.Calls{Asked: 100, InTime: i}})
+		r.Services = append(r.Services, experiment.ServiceResult{Name: fmt.Sprintf("svc-%d", i), Calls: experiment.Calls{Offered: 100, InTime: i}})
 	}
 	text := string(markdown([]*experiment.Result{r}))
 	if strings.Count(text, "| svc-") != maxServiceRows || !strings.Contains(text, "The 20 of 98 services") || !strings.Contains(text, "| svc-19 ") {
--- a/cmd/fleetlab/markdown.go
+++ b/cmd/fleetlab/markdown.go
@@ -25,9 +25,11 @@
 	var rows [][]string
 	for _, r := range results {
 		rows = append(rows, append([]string{r.Name, strconv.FormatUint(r.Seed, 10)}, append(callCells(r.Calls),
-			strconv.Itoa(r.Processes), formatFigure(r.Virtual), formatFigure(r.Real), formatFigure(r.HeapMB), formatFigure(r.PerKB))...))
+			strconv.Itoa(r.Sidecars), formatFigure(r.VirtualSeconds), formatFigure(r.RealSeconds), formatFigure(r.PeakHeapMB),
+			formatFigure(r.HeapPerSidecarKB))...))
 	}
-	writeTable(&b, append(append([]string{"run", "seed"}, callHeadings...), "sidecars", "virtual s", "real s", "heap MB", "KB each"), rows)
+	writeTable(&b, append(append([]string{"run", "seed"}, callHeadings...), "sidecars", "virtual s", "real s", "heap MB", "KB each"),
+		rows)
 	for _, r := range results {
 		writeRun(&b, r)
 	}
@@ -37,9 +39,10 @@
 // writeRun writes the section of one run.
 func writeRun(b *bytes.Buffer, r *experiment.Result) {
 	fmt.Fprintf(b, "\n## %s, seed %d\n\nPlayed by %s. Times are in ms.", r.Name, r.Seed, r.Version)
-	if n := len(r.Thinned); n > 0 {
-		shares := slices.Sorted(maps.Values(r.Thinned))
-		fmt.Fprintf(b, " Thinned services: %d, of whose calls %s to %s are played.", n, formatFigure(shares[0]), formatFigure(shares[n-1]))
+	if n := len(r.SimulatedShares); n > 0 {
+		shares := slices.Sorted(maps.Values(r.SimulatedShares))
+		fmt.Fprintf(b, " Thinned services: %d, of whose calls %s to %s are played.", n, formatFigure(shares[0]),
+			formatFigure(shares[n-1]))
 	}
 	b.WriteString("\n\n")
 
@@ -53,7 +56,8 @@
 	}
 	var rows [][]string
 	for _, s := range services {
-		rows = append(rows, append(append([]string{s.Name}, callCells(s.Calls)...), strconv.Itoa(s.Falls), formatFigure(s.WorstCold)))
+		rows = append(rows, append(append([]string{s.Name}, callCells(s.Calls)...), strconv.Itoa(s.ColdCrashes),
+			formatFigure(s.WorstColdRatio)))
 	}
 	writeTable(b, append(append([]string{"service"}, callHeadings...), "falls", "worst cold"), rows)
 
@@ -62,22 +66,23 @@
 		rows = nil
 		for _, f := range r.Faults {
 			recovered := "not in this run"
-			if f.Recovered >= 0 {
-				recovered = formatFigure(f.Recovered)
+			if f.RecoveryTime >= 0 {
+				recovered = formatFigure(f.RecoveryTime)
 			}
-			rows = append(rows, []string{f.Fault, formatMillis(f.At), formatCount(f.Lost), recovered, formatCount(f.ListCalls), formatFigure(f.ToldMax)})
+			rows = append(rows, []string{f.Fault, formatMillis(f.At), formatCount(f.LostCalls), recovered, formatCount(f.ListCalls),
+				formatFigure(f.ResyncMax)})
 		}
 		writeTable(b, []string{"fault", "at", "lost", "recovered after", "list calls", "last told"}, rows)
 	}
 
 	b.WriteString("\n")
 	writeTable(b, []string{"what must not happen", "count"}, [][]string{
-		{"cold endpoints that fell", formatCount(r.Rules.ColdFalls)},
-		{"sends to draining endpoints past the grace", formatCount(r.Rules.DrainingSends)},
-		{"unsafe calls run again", formatCount(r.Rules.UnsafeRepeats)},
-		{"calls never answered", formatCount(r.Rules.NoAnswer)},
-		{"calls answered twice", formatCount(r.Rules.TwoAnswers)},
-		{"calls answered by the sidecar for the module", formatCount(r.Rules.Backstops)},
+		{"cold endpoints that fell", formatCount(r.Violations.ColdCrashes)},
+		{"sends to draining endpoints past the grace", formatCount(r.Violations.DrainingSends)},
+		{"unsafe calls run again", formatCount(r.Violations.UnsafeRepeats)},
+		{"calls never answered", formatCount(r.Violations.Unanswered)},
+		{"calls answered twice", formatCount(r.Violations.DuplicateAnswers)},
+		{"calls answered by the sidecar for the module", formatCount(r.Violations.Backstops)},
 	})
 
 	c := r.Control
@@ -86,17 +91,17 @@
 		{"calls a second at discovery, mean", formatFigure(c.CallsPerSecond)},
 		{"calls a second at discovery, peak", formatFigure(c.PeakCallsPerSecond)},
 		{"calls refused by discovery", formatCount(c.RefusedCalls)},
-		{"discovery busy, share", formatFigure(c.DiscoveryBusy)},
+		{"discovery busy, share", formatFigure(c.DiscoveryUtilization)},
 		{"calls waiting at discovery, most", strconv.Itoa(c.PeakQueue)},
 		{"bytes a second, a sidecar", formatFigure(c.SidecarBytesPerSecond)},
 		{"bytes a second, discovery", formatFigure(c.DiscoveryBytesPerSecond)},
 		{"module, us a call", formatFigure(c.ModuleMicrosPerCall)},
 		{"module, us a list", formatFigure(c.ModuleMicrosPerList)},
-		{"change in force everywhere, p50", formatFigure(c.SpreadP50)},
-		{"change in force everywhere, p99", formatFigure(c.SpreadP99)},
-		{"change in force everywhere, most", formatFigure(c.SpreadMax)},
-		{"changes not in force everywhere at the end", formatCount(c.Unspread)},
-		{"last told after discovery's return", formatFigure(c.ToldMax)},
+		{"change in force everywhere, p50", formatFigure(c.PropagationP50)},
+		{"change in force everywhere, p99", formatFigure(c.PropagationP99)},
+		{"change in force everywhere, most", formatFigure(c.PropagationMax)},
+		{"changes not in force everywhere at the end", formatCount(c.UnpropagatedChanges)},
+		{"last told after discovery's return", formatFigure(c.ResyncMax)},
 	})
 }
 
@@ -104,19 +109,19 @@
 
 func callCells(c experiment.Calls) []string {
 	share := "-"
-	if c.Asked > 0 {
+	if c.Offered > 0 {
 		share = fmt.Sprintf("%.2f %%", math.Floor(1e4*inTimeShare(c))/100) // rounded down, so that 100 means all
 	}
-	return []string{formatCount(c.Asked), share, formatCount(c.Refused), formatCount(c.Failed), formatCount(c.Late),
+	return []string{formatCount(c.Offered), share, formatCount(c.Refused), formatCount(c.Failed), formatCount(c.Late),
 		formatFigure(c.P50), formatFigure(c.P99), formatFigure(c.P999), formatFigure(c.AddedP99)}
 }
 
 // inTimeShare returns the share of calls that were served in time, or 1 if there were no calls.
 func inTimeShare(c experiment.Calls) float64 {
-	if c.Asked == 0 {
+	if c.Offered == 0 {
 		return 1
 	}
-	return float64(c.InTime) / float64(c.Asked)
+	return float64(c.InTime) / float64(c.Offered)
 }
 
 func formatCount(n int64) string { return strconv.FormatInt(n, 10) }
--- a/cmd/fleetlab/run.go
+++ b/cmd/fleetlab/run.go
@@ -25,10 +25,10 @@
 			return nil, err
 		}
 		need, halfMemory := megabytes(a.estimateMemory(e)), a.totalMemory()/2>>20
-		size := fmt.Sprintf("%d endpoints and %d sidecars need about %d MB", e.Endpoints(), e.Processes(), need)
+		size := fmt.Sprintf("%d endpoints and %d sidecars need about %d MB", e.NumEndpoints(), e.NumSidecars(), need)
 		switch {
-		case need > int64(e.Memory):
-			return nil, e.Errorf("memory_mb", "%s, it allows %d", size, e.Memory)
+		case need > int64(e.MemoryMB):
+			return nil, e.Errorf("memory_mb", "%s, it allows %d", size, e.MemoryMB)
 		case halfMemory > 0 && need > halfMemory:
 			return nil, e.Errorf("memory_mb", "%s, half of this machine's memory is %d MB", size, halfMemory)
 		}
@@ -53,7 +53,7 @@
 			total, simulated = total+rates[k], simulated+simulatedRates[k]
 		}
 		if _, err := fmt.Fprintf(a.stdout, "%s: %d services, %d endpoints, %d sidecars, calls up to %d deep, %.0f calls a second "+
-			"(%.0f played), faults: %d, about %d MB\n", opt.Check.Files[i], len(e.Services), e.Endpoints(), e.Processes(), e.Depth(),
+			"(%.0f played), faults: %d, about %d MB\n", opt.Check.Files[i], len(e.Services), e.NumEndpoints(), e.NumSidecars(), e.Depth(),
 			total, simulated, len(e.Faults), megabytes(a.estimateMemory(e))); err != nil {
 			return err
 		}
@@ -123,7 +123,7 @@
 	}
 	run := *e
 	run.Seed = seed
-	log.Info("run begins", "name", e.Name, "sidecars", e.Processes(), "virtual", e.Warmup+e.Duration)
+	log.Info("run begins", "name", e.Name, "sidecars", e.NumSidecars(), "virtual", e.Warmup+e.Duration)
 	started := time.Now()
 	res, err := a.runExperiment(ctx, &run, func(done, total time.Duration) {
 		con.show(progressLine(e.Name, seed, done, total, time.Since(started)))
@@ -136,8 +136,8 @@
 		return nil, err
 	}
 	res.Version = a.version
-	log.Info("run done", "name", e.Name, "real_s", formatFigure(res.Real), "heap_mb", formatFigure(res.HeapMB), "asked", res.Calls.Asked,
-		"in_time", res.Calls.InTime)
+	log.Info("run done", "name", e.Name, "real_s", formatFigure(res.RealSeconds), "heap_mb", formatFigure(res.PeakHeapMB),
+		"asked", res.Calls.Offered, "in_time", res.Calls.InTime)
 	return res, nil
 }
 
--- a/internal/experiment/check.go
+++ b/internal/experiment/check.go
@@ -302,7 +302,7 @@
 				checkName("service", path+".name", fmt.Sprintf("%s-%d", s.Name, k))
 			}
 		}
-		perCopy := min(max(s.Endpoints, 0), maxInstances) + min(max(s.Front, 0), maxInstances)
+		perCopy := min(max(s.Endpoints, 0), maxInstances) + min(max(s.FrontSidecars, 0), maxInstances)
 		if instances += copies * perCopy; instances > maxInstances {
 			c.addErrorf(path+".endpoints", "makes %d endpoints and sidecars at the front in sum, %d at most", instances, maxInstances)
 			return false
@@ -345,7 +345,7 @@
 	}
 	for i, s := range services {
 		path := fmt.Sprintf("service[%d]", i)
-		if s.Rate > 0 && s.Front == 0 {
+		if s.ClientRate > 0 && s.FrontSidecars == 0 {
 			c.addErrorf(path+".rate", "clients come through sidecars at the front, and there are none: set front")
 		}
 		callIndex := map[string]int{}
@@ -445,22 +445,22 @@
 
 // Rates returns the calls per second that each service receives without retries and faults: all of them, and those that
 // are simulated. Only simulated calls make simulated calls, so a service's simulated share is at most that of its callers.
-func (e *Experiment) Rates() (all, played []float64) {
-	all, played = make([]float64, len(e.Services)), make([]float64, len(e.Services))
+func (e *Experiment) Rates() (all, simulated []float64) {
+	all, simulated = make([]float64, len(e.Services)), make([]float64, len(e.Services))
 	refs := e.serviceRefs()
 	for _, i := range e.callersFirst() {
 		s := e.Services[i]
-		clients := s.Rate * float64(max(s.Copies, 1))
+		clients := s.ClientRate * float64(max(s.Copies, 1))
 		all[i] += clients
-		played[i] += clients * s.Thin
+		simulated[i] += clients * s.SimulatedShare
 		for _, call := range s.Calls {
 			if to, ok := refs[call.To]; ok {
 				all[to.service] += all[i] * call.Times
-				played[to.service] += min(played[i], all[i]*e.Services[to.service].Thin) * call.Times
+				simulated[to.service] += min(simulated[i], all[i]*e.Services[to.service].SimulatedShare) * call.Times
 			}
 		}
 	}
-	return all, played
+	return all, simulated
 }
 
 // Depth returns the number of services in the longest chain of calls.
@@ -488,8 +488,8 @@
 		if !slices.Contains([]string{"safe", "keyed", "unsafe"}, class.Effect) {
 			c.addErrorf(path+".effect", "%s is none of \"safe\", \"keyed\" and \"unsafe\"", quoteShort(class.Effect))
 		}
-		if class.Aim > class.GiveUp {
-			c.addErrorf(path+".aim", "%s is over give_up, %s", formatDuration(class.Aim), formatDuration(class.GiveUp))
+		if class.TargetLatency > class.Timeout {
+			c.addErrorf(path+".aim", "%s is over give_up, %s", formatDuration(class.TargetLatency), formatDuration(class.Timeout))
 		}
 	}
 	if !(math.Abs(sum-1) <= shareTolerance) {
@@ -511,7 +511,7 @@
 		}
 		if f.At >= c.e.Duration {
 			c.addErrorf(path+".at", "%s is after the run, which lasts %s", formatDuration(f.At), formatDuration(c.e.Duration))
-		} else if end := f.At + f.For; end > c.e.Duration {
+		} else if end := f.At + f.Duration; end > c.e.Duration {
 			key := path + ".for"
 			if !c.e.source.hasKey(key) {
 				key = path + ".at"
@@ -541,7 +541,7 @@
 		endpoints, rate := 0, 0.0
 		for _, s := range c.e.Services {
 			endpoints += max(s.Copies, 1) * s.Endpoints
-			rate += s.Rate
+			rate += s.ClientRate
 		}
 		if f.Target != "" {
 			ref, ok := c.serviceRefs[f.Target]
@@ -554,7 +554,7 @@
 				c.addErrorf(key, "%s has %d copies: name one, such as %s-0", s.Name, s.Copies, s.Name)
 				return
 			}
-			endpoints, rate = s.Endpoints, s.Rate
+			endpoints, rate = s.Endpoints, s.ClientRate
 		} else {
 			key = path
 		}
@@ -632,7 +632,7 @@
 }
 
 // Endpoints returns the number of endpoints of all services.
-func (e *Experiment) Endpoints() int {
+func (e *Experiment) NumEndpoints() int {
 	n := 0
 	for _, s := range e.Services {
 		n += max(s.Copies, 1) * s.Endpoints
@@ -641,10 +641,10 @@
 }
 
 // Processes returns the number of sidecars: all front sidecars, and one for each endpoint of a service that calls others.
-func (e *Experiment) Processes() int {
+func (e *Experiment) NumSidecars() int {
 	n := 0
 	for _, s := range e.Services {
-		perCopy := s.Front
+		perCopy := s.FrontSidecars
 		if len(s.Calls) > 0 {
 			perCopy += s.Endpoints
 		}
--- a/internal/experiment/read_test.go
+++ b/internal/experiment/read_test.go
@@ -228,7 +228,7 @@
 		t.Fatal(err)
 	}
 	if len(e.Regions) != 1 || len(e.Classes) != 1 || e.Regions[0].Name != "r-0" || e.Classes[0] != (Class{Name: "read", Share: 1,
-		Effect: "safe", Aim: Duration(300 * time.Millisecond), GiveUp: Duration(time.Second), Worth: 1}) || e.Faults[0].Count != 1 {
+		Effect: "safe", TargetLatency: Duration(300 * time.Millisecond), Timeout: Duration(time.Second), Value: 1}) || e.Faults[0].Count != 1 {
 		t.Errorf("regions %+v, classes %+v, faults %+v", e.Regions, e.Classes, e.Faults)
 	}
 	value := func(text string) float64 {
@@ -321,12 +321,12 @@
 	if !slices.Equal(got, want) {
 		t.Errorf("services %q", got)
 	}
-	if e.Endpoints() != 18 || e.Processes() != 18 || e.Depth() != 2 {
-		t.Errorf("%d endpoints, %d processes, %d deep", e.Endpoints(), e.Processes(), e.Depth())
+	if e.NumEndpoints() != 18 || e.NumSidecars() != 18 || e.Depth() != 2 {
+		t.Errorf("%d endpoints, %d processes, %d deep", e.NumEndpoints(), e.NumSidecars(), e.Depth())
 	}
-	all, played := e.Rates()
-	if !slices.Equal(all, []float64{10, 10, 10, 40, 50, 30}) || !slices.Equal(played, []float64{10, 10, 10, 40, 50, 15}) {
-		t.Errorf("rates %v, played %v", all, played)
+	all, simulated := e.Rates()
+	if !slices.Equal(all, []float64{10, 10, 10, 40, 50, 30}) || !slices.Equal(simulated, []float64{10, 10, 10, 40, 50, 15}) {
+		t.Errorf("rates %v, simulated %v", all, simulated)
 	}
 }
 
@@ -358,8 +358,8 @@
 			t.Errorf("%s is named %s", file, e.Name)
 		}
 		sidecars := map[string]int{"small": 20, "deep": 72, "beside-real-20": 21, "beside-real-60": 61, "discovery-return-20": 20, "discovery-return-60": 60, "restart-wave": 60, "full-size": 2824}
-		if want, ok := sidecars[e.Name]; !ok && e.Processes() != 2800 || ok && e.Processes() != want {
-			t.Errorf("%s has %d sidecars", file, e.Processes())
+		if want, ok := sidecars[e.Name]; !ok && e.NumSidecars() != 2800 || ok && e.NumSidecars() != want {
+			t.Errorf("%s has %d sidecars", file, e.NumSidecars())
 		}
 		if e.Name != "full-size" {
 			continue
@@ -372,10 +372,10 @@
 		for _, r := range all {
 			rate += r
 		}
-		if len(e.Services) != 98 || e.Endpoints() != 2800 || e.Depth() != 24 || len(e.Regions) != 4 || zones != 11 ||
+		if len(e.Services) != 98 || e.NumEndpoints() != 2800 || e.Depth() != 24 || len(e.Regions) != 4 || zones != 11 ||
 			math.Abs(rate-470_000) > 100 || e.Discovery.Instances != 10 {
 			t.Errorf("%d services, %d endpoints, %d deep, %d regions, %d zones, %.0f calls a second", len(e.Services),
-				e.Endpoints(), e.Depth(), len(e.Regions), zones, rate)
+				e.NumEndpoints(), e.Depth(), len(e.Regions), zones, rate)
 		}
 	}
 }
@@ -389,8 +389,8 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		e, err := Parse("f.toml", text)
 		if err == nil {
-			if e.Endpoints() < 1 || e.Depth() > MaxDepth {
-				t.Errorf("%d endpoints, %d deep", e.Endpoints(), e.Depth())
+			if e.NumEndpoints() < 1 || e.Depth() > MaxDepth {
+				t.Errorf("%d endpoints, %d deep", e.NumEndpoints(), e.Depth())
 			}
 			return
 		}
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -13,7 +13,7 @@
 // served, and do not come again.
 func (f *fleet) schedule(id int32) {
 	s := &f.services[id]
-	perSecond := s.Rate * s.Thin * s.factor
+	perSecond := s.ClientRate * s.SimulatedShare * s.factor
 	if len(s.fronts) == 0 || !(perSecond > 0) {
 		return
 	}
@@ -38,7 +38,7 @@
 	for i := range s.fronts {
 		p := &f.processes[s.fronts[(first+i)%len(s.fronts)]]
 		if p.up {
-			f.take(p.tierFrom, class, f.now+int64(f.exp.Classes[class].GiveUp), -1)
+			f.take(p.tierFrom, class, f.now+int64(f.exp.Classes[class].Timeout), -1)
 			return
 		}
 		if f.now < p.downAt+ns(frontNotices) {
--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -249,7 +249,7 @@
 		return
 	}
 	start := max(f.now, in.busyUntil)
-	wait := int64(f.exp.Discovery.MaxWait)
+	wait := int64(f.exp.Discovery.MaxQueueTime)
 	if d.refusing > 0 || wait > 0 && start-f.now > wait {
 		if d.refusing > 0 {
 			wait = 0
@@ -281,9 +281,9 @@
 	version := f.knows(in, tr.service)
 	size := answerBytes + objectBytes
 	if tr.whole && in.stalled == nil {
-		size += s.Endpoints * f.exp.Discovery.EntrySize
+		size += s.Endpoints * f.exp.Discovery.EntryBytes
 	} else {
-		size += max(int(version-tr.version), 0) * f.exp.Discovery.EntrySize
+		size += max(int(version-tr.version), 0) * f.exp.Discovery.EntryBytes
 	}
 	delay := int64(0)
 	if !f.pushed() {
@@ -462,9 +462,9 @@
 		}
 		at += int64(f.exp.Discovery.WriteTime)
 		if !f.pushed() {
-			f.control.both(f, objectBytes+int(version-tr.sent)*f.exp.Discovery.EntrySize)
+			f.control.both(f, objectBytes+int(version-tr.sent)*f.exp.Discovery.EntryBytes)
 		} else {
-			f.control.bytes(f, objectBytes+int(version-tr.sent)*f.exp.Discovery.EntrySize)
+			f.control.bytes(f, objectBytes+int(version-tr.sent)*f.exp.Discovery.EntryBytes)
 		}
 		tr.sent = version
 		tr.inOrder = max(tr.inOrder, at+f.net.delay(in.place, p.place, &d.source))
--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -43,11 +43,11 @@
 // coldShare is the part of its capacity that an endpoint has now.
 func (f *fleet) coldShare(e *endpoint) float64 {
 	side := &f.exp.Sidecar
-	if e.started < 0 || side.Ramp <= 0 {
+	if e.started < 0 || side.RampTime <= 0 {
 		return 1
 	}
-	age := float64(f.now-e.started) / float64(side.Ramp)
-	return min(1, side.ColdFrom+(1-side.ColdFrom)*max(age, 0))
+	age := float64(f.now-e.started) / float64(side.RampTime)
+	return min(1, side.ColdCapacity+(1-side.ColdCapacity)*max(age, 0))
 }
 
 // busy is the cores that requests take which are not played.
@@ -56,7 +56,7 @@
 	if s.share >= 1 {
 		return 0
 	}
-	return s.started.value(f.now) * (1/s.share - 1) * seconds(s.Work) / float64(max(s.up, 1))
+	return s.started.value(f.now) * (1/s.share - 1) * seconds(s.MeanWork) / float64(max(s.up, 1))
 }
 
 // advance gives the requests in work what they got since the last time.
@@ -183,7 +183,7 @@
 	a.working, a.inWork, a.endpoint, a.place = true, true, id, int32(len(e.held))
 	e.held = append(e.held, ev.id)
 	f.advance(e)
-	e.pushWork(work{e.progress + e.exp()*seconds(s.Work), ev.id})
+	e.pushWork(work{e.progress + e.exp()*seconds(s.MeanWork), ev.id})
 	f.resume(id, e)
 }
 
@@ -192,11 +192,11 @@
 func (f *fleet) falls(id int32, e *endpoint) bool {
 	side := &f.exp.Sidecar
 	share := f.coldShare(e)
-	if share >= 1 || side.FallMultiple <= 0 || side.FallAfter <= 0 {
+	if share >= 1 || side.OverloadMultiple <= 0 || side.OverloadWindow <= 0 {
 		e.window = nil
 		return false
 	}
-	from := f.now - int64(side.FallAfter)
+	from := f.now - int64(side.OverloadWindow)
 	gone := 0
 	for gone < len(e.window) && e.window[gone] < from {
 		gone++
@@ -204,7 +204,7 @@
 	e.window = append(e.window[:0], e.window[gone:]...)
 	e.window = append(e.window, f.now)
 	s := &f.services[e.service]
-	n := side.FallMultiple * share * s.Cores / seconds(s.Work) * seconds(side.FallAfter) * s.share
+	n := side.OverloadMultiple * share * s.Cores / seconds(s.MeanWork) * seconds(side.OverloadWindow) * s.share
 	ratio := float64(len(e.window)) / (n + 2*math.Sqrt(n) + 2)
 	s.worstCold = max(s.worstCold, ratio)
 	if ratio > 1 {
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -48,14 +48,14 @@
 		default:
 			err = fmt.Errorf("%w: its kind is unknown", errShape)
 		}
-		if err == nil && (spec.At < 0 || spec.For < 0 || spec.Count < 0 || spec.Kind == "burst" && !(spec.Factor > 0)) {
+		if err == nil && (spec.At < 0 || spec.Duration < 0 || spec.Count < 0 || spec.Kind == "burst" && !(spec.Factor > 0)) {
 			err = fmt.Errorf("%w: its times, count or factor", errShape)
 		}
 		if err != nil {
 			return fmt.Errorf("fault %d, %q: %w", i, spec.Kind, err)
 		}
 		ft.at = f.from + int64(spec.At)
-		ft.until = ft.at + int64(spec.For)
+		ft.until = ft.at + int64(spec.Duration)
 		f.faults = append(f.faults, ft)
 		f.at(ft.at, evFault, int32(i), 0, 0)
 	}
@@ -110,11 +110,11 @@
 		d.refusing++
 	case "restart":
 		for k, e := range f.pick(ft) {
-			f.at(ft.at+int64(ft.For)*int64(k)/int64(ft.Count), evDrain, e, f.endpoints[e].gen, 0)
+			f.at(ft.at+int64(ft.Duration)*int64(k)/int64(ft.Count), evDrain, e, f.endpoints[e].gen, 0)
 		}
 	case "changes":
 		for k := range ft.Count {
-			f.at(ft.at+int64(ft.For)*int64(k)/int64(ft.Count), evChange, id, 0, 0)
+			f.at(ft.at+int64(ft.Duration)*int64(k)/int64(ft.Count), evChange, id, 0, 0)
 		}
 	case "burst":
 		f.burst(ft, ft.Factor)
@@ -203,7 +203,7 @@
 	f.note(ev.id, forkline.Draining)
 	longest := time.Duration(0)
 	for _, c := range f.exp.Classes {
-		longest = max(longest, time.Duration(c.GiveUp))
+		longest = max(longest, time.Duration(c.Timeout))
 	}
 	f.at(f.now+int64(f.exp.Sidecar.DrainGrace)+ns(min(longest, longestStop)), evKill, ev.id, e.gen, 0)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -19,22 +19,22 @@
 		Name: "small", Seed: 7, Duration: dur(20 * time.Second), Warmup: dur(10 * time.Second),
 		Regions: []experiment.Region{{Name: "north", Zones: 2, Racks: 3}, {Name: "south", Zones: 1, Racks: 3}},
 		Services: []experiment.Service{
-			{Name: "front", Endpoints: 12, Front: 8, Rate: 120, Cores: 4, Work: dur(20 * time.Millisecond), Slots: 64, Thin: 1,
+			{Name: "front", Endpoints: 12, FrontSidecars: 8, ClientRate: 120, Cores: 4, MeanWork: dur(20 * time.Millisecond), Slots: 64, SimulatedShare: 1,
 				Calls: []experiment.Call{{To: "store", Times: 1.5}}},
-			{Name: "store", Endpoints: 9, Cores: 4, Work: dur(10 * time.Millisecond), Slots: 64, Thin: 1},
+			{Name: "store", Endpoints: 9, Cores: 4, MeanWork: dur(10 * time.Millisecond), Slots: 64, SimulatedShare: 1},
 		},
 		Classes: []experiment.Class{
-			{Name: "read", Share: 0.6, Effect: "safe", Aim: dur(600 * time.Millisecond), GiveUp: dur(2 * time.Second), Worth: 1},
-			{Name: "put", Share: 0.2, Effect: "keyed", Aim: dur(800 * time.Millisecond), GiveUp: dur(2 * time.Second), Worth: 2},
-			{Name: "pay", Share: 0.2, Effect: "unsafe", Aim: dur(time.Second), GiveUp: dur(3 * time.Second), Worth: 4},
+			{Name: "read", Share: 0.6, Effect: "safe", TargetLatency: dur(600 * time.Millisecond), Timeout: dur(2 * time.Second), Value: 1},
+			{Name: "put", Share: 0.2, Effect: "keyed", TargetLatency: dur(800 * time.Millisecond), Timeout: dur(2 * time.Second), Value: 2},
+			{Name: "pay", Share: 0.2, Effect: "unsafe", TargetLatency: dur(time.Second), Timeout: dur(3 * time.Second), Value: 4},
 		},
-		Sidecar: experiment.Sidecar{MaxAttempts: 3, DrainGrace: dur(750 * time.Millisecond), ColdFrom: 0.35,
-			Ramp: dur(6 * time.Second), FallMultiple: 3, FallAfter: dur(2 * time.Second), AskEvery: dur(10 * time.Second),
-			ConnIdle: dur(5 * time.Second)},
+		Sidecar: experiment.Sidecar{MaxAttempts: 3, DrainGrace: dur(750 * time.Millisecond), ColdCapacity: 0.35,
+			RampTime: dur(6 * time.Second), OverloadMultiple: 3, OverloadWindow: dur(2 * time.Second), PollInterval: dur(10 * time.Second),
+			IdleTimeout: dur(5 * time.Second)},
 		Discovery: experiment.Discovery{Instances: 2, CallTime: dur(3 * time.Millisecond), WriteTime: dur(50 * time.Microsecond),
-			MaxWait: dur(2 * time.Second), Lag: dur(300 * time.Millisecond), EntrySize: 150},
+			MaxQueueTime: dur(2 * time.Second), Lag: dur(300 * time.Millisecond), EntryBytes: 150},
 		Network: experiment.Network{SameZone: dur(250 * time.Microsecond), SameRegion: dur(time.Millisecond),
-			Regions: dur(12 * time.Millisecond), Loss: 0.0005, Retransmit: dur(200 * time.Millisecond)},
+			BetweenRegions: dur(12 * time.Millisecond), LossRate: 0.0005, RetransmitDelay: dur(200 * time.Millisecond)},
 	}
 }
 
@@ -52,8 +52,8 @@
 func conserved(t testing.TB, r *experiment.Result) {
 	t.Helper()
 	whole := func(scope string, c experiment.Calls) {
-		if got := c.Served + c.Refused + c.Failed + c.Late; got != c.Asked {
-			t.Errorf("%s: %d asked, %d ended: %+v", scope, c.Asked, got, c)
+		if got := c.Served + c.Refused + c.Failed + c.Late; got != c.Offered {
+			t.Errorf("%s: %d asked, %d ended: %+v", scope, c.Offered, got, c)
 		}
 	}
 	whole("all", r.Calls)
@@ -62,17 +62,17 @@
 	}
 	var sum experiment.Calls
 	for _, s := range r.Series {
-		sum.Asked += s.Asked
+		sum.Offered += s.Offered
 		sum.Served += s.Served
 		sum.Refused += s.Refused
 		sum.Failed += s.Failed
 		sum.Late += s.Late
 	}
-	if c := r.Calls; sum.Asked != c.Asked || sum.Served != c.Served || sum.Refused != c.Refused || sum.Failed != c.Failed {
+	if c := r.Calls; sum.Offered != c.Offered || sum.Served != c.Served || sum.Refused != c.Refused || sum.Failed != c.Failed {
 		t.Errorf("the seconds sum up to %+v, all is %+v", sum, c)
 	}
-	if r.Rules.NoAnswer+r.Rules.TwoAnswers+r.Rules.UnsafeRepeats+r.Rules.DrainingSends > 0 {
-		t.Errorf("rules: %+v", r.Rules)
+	if r.Violations.Unanswered+r.Violations.DuplicateAnswers+r.Violations.UnsafeRepeats+r.Violations.DrainingSends > 0 {
+		t.Errorf("rules: %+v", r.Violations)
 	}
 }
 
@@ -88,17 +88,17 @@
 // plain leaves out what the machine measured.
 func plain(r *experiment.Result) string {
 	c := *r
-	c.Real, c.HeapMB, c.PerKB, c.Control.ModuleMicrosPerCall, c.Control.ModuleMicrosPerList = 0, 0, 0, 0, 0
+	c.RealSeconds, c.PeakHeapMB, c.HeapPerSidecarKB, c.Control.ModuleMicrosPerCall, c.Control.ModuleMicrosPerList = 0, 0, 0, 0, 0
 	return fmt.Sprintf("%+v", c)
 }
 
 func TestCalmFleetServesAllWithinTheAim(t *testing.T) {
 	r := run(t, small())
-	if r.Processes != 20 || r.Calls.Asked < 2000 {
-		t.Errorf("%d processes, %d calls", r.Processes, r.Calls.Asked)
+	if r.Sidecars != 20 || r.Calls.Offered < 2000 {
+		t.Errorf("%d processes, %d calls", r.Sidecars, r.Calls.Offered)
 	}
-	if c := r.Calls; c.InTime != c.Asked {
-		t.Errorf("%d of %d calls in time: %+v", c.InTime, c.Asked, c)
+	if c := r.Calls; c.InTime != c.Offered {
+		t.Errorf("%d of %d calls in time: %+v", c.InTime, c.Offered, c)
 	}
 }
 
@@ -106,9 +106,9 @@
 	e := small()
 	e.Duration = dur(8 * time.Second)
 	e.Faults = []experiment.Fault{
-		{Kind: "zone", At: dur(time.Second), For: dur(2 * time.Second), Target: "0/1"},
-		{Kind: "restart", At: dur(2 * time.Second), For: dur(3 * time.Second), Target: "store", Count: 3},
-		{Kind: "down", At: dur(3 * time.Second), For: dur(2 * time.Second)},
+		{Kind: "zone", At: dur(time.Second), Duration: dur(2 * time.Second), Target: "0/1"},
+		{Kind: "restart", At: dur(2 * time.Second), Duration: dur(3 * time.Second), Target: "store", Count: 3},
+		{Kind: "down", At: dur(3 * time.Second), Duration: dur(2 * time.Second)},
 	}
 	first, again := plain(run(t, e)), plain(run(t, e))
 	if first != again {
@@ -126,16 +126,16 @@
 		fault experiment.Fault
 		told  float64 // ms at most: what discovery knows counts as told then; 0 = not looked at
 	}{
-		{"discovery down", experiment.Fault{Kind: "down", For: dur(5 * time.Second)}, 6000},
-		{"discovery silent", experiment.Fault{Kind: "silent", For: dur(5 * time.Second)}, 6000},
-		{"discovery refusing", experiment.Fault{Kind: "refusing", For: dur(5 * time.Second)}, 6000},
-		{"zone", experiment.Fault{Kind: "zone", For: dur(4 * time.Second), Target: "0/1"}, 0},
-		{"rack", experiment.Fault{Kind: "rack", For: dur(4 * time.Second), Target: "0/0/1"}, 0},
-		{"machines", experiment.Fault{Kind: "machine", For: dur(4 * time.Second), Count: 3}, 0},
-		{"split", experiment.Fault{Kind: "split", For: dur(4 * time.Second), Target: "south"}, 0},
-		{"restarts", experiment.Fault{Kind: "restart", For: dur(6 * time.Second), Target: "front", Count: 6}, 0},
-		{"changes", experiment.Fault{Kind: "changes", For: dur(time.Second), Count: 20}, 0},
-		{"burst", experiment.Fault{Kind: "burst", For: dur(2 * time.Second), Factor: 3}, 0},
+		{"discovery down", experiment.Fault{Kind: "down", Duration: dur(5 * time.Second)}, 6000},
+		{"discovery silent", experiment.Fault{Kind: "silent", Duration: dur(5 * time.Second)}, 6000},
+		{"discovery refusing", experiment.Fault{Kind: "refusing", Duration: dur(5 * time.Second)}, 6000},
+		{"zone", experiment.Fault{Kind: "zone", Duration: dur(4 * time.Second), Target: "0/1"}, 0},
+		{"rack", experiment.Fault{Kind: "rack", Duration: dur(4 * time.Second), Target: "0/0/1"}, 0},
+		{"machines", experiment.Fault{Kind: "machine", Duration: dur(4 * time.Second), Count: 3}, 0},
+		{"split", experiment.Fault{Kind: "split", Duration: dur(4 * time.Second), Target: "south"}, 0},
+		{"restarts", experiment.Fault{Kind: "restart", Duration: dur(6 * time.Second), Target: "front", Count: 6}, 0},
+		{"changes", experiment.Fault{Kind: "changes", Duration: dur(time.Second), Count: 20}, 0},
+		{"burst", experiment.Fault{Kind: "burst", Duration: dur(2 * time.Second), Factor: 3}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			for _, pushed := range []bool{false, true} {
@@ -146,11 +146,11 @@
 				e.Faults = []experiment.Fault{c.fault}
 				r := run(t, e)
 				got := r.Faults[0]
-				if got.Recovered < 0 {
+				if got.RecoveryTime < 0 {
 					t.Errorf("pushed %v: never served as before: %+v", pushed, got)
 				}
-				if got.ToldMax < 0 || c.told > 0 && got.ToldMax > c.told {
-					t.Errorf("pushed %v: some sidecar was told %v ms after the end", pushed, got.ToldMax)
+				if got.ResyncMax < 0 || c.told > 0 && got.ResyncMax > c.told {
+					t.Errorf("pushed %v: some sidecar was told %v ms after the end", pushed, got.ResyncMax)
 				}
 			}
 		})
@@ -161,13 +161,13 @@
 	e := small()
 	e.Services = nil
 	for i := range e.Classes { // where each tier keeps its most, a tenth of the time left, 24 need long deadlines
-		e.Classes[i].Aim, e.Classes[i].GiveUp = dur(3*time.Second), dur(6*time.Second)
+		e.Classes[i].TargetLatency, e.Classes[i].Timeout = dur(3*time.Second), dur(6*time.Second)
 	}
 	for i := range 24 {
-		s := experiment.Service{Name: fmt.Sprint("tier", i), Endpoints: 3, Cores: 4, Work: dur(4 * time.Millisecond),
-			Slots: 64, Thin: 1}
+		s := experiment.Service{Name: fmt.Sprint("tier", i), Endpoints: 3, Cores: 4, MeanWork: dur(4 * time.Millisecond),
+			Slots: 64, SimulatedShare: 1}
 		if i == 0 {
-			s.Front, s.Rate = 3, 30
+			s.FrontSidecars, s.ClientRate = 3, 30
 		}
 		if i < 23 {
 			s.Calls = []experiment.Call{{To: fmt.Sprint("tier", i+1), Times: 1}}
@@ -175,10 +175,10 @@
 		e.Services = append(e.Services, s)
 	}
 	r := run(t, e)
-	if c := r.Calls; float64(c.Served) < 0.99*float64(c.Asked) {
-		t.Errorf("%d of %d calls served through 24 tiers", c.Served, c.Asked)
+	if c := r.Calls; float64(c.Served) < 0.99*float64(c.Offered) {
+		t.Errorf("%d of %d calls served through 24 tiers", c.Served, c.Offered)
 	}
-	if deep := r.Services[23].Calls.Asked; float64(deep) < 0.99*float64(r.Calls.Served) {
+	if deep := r.Services[23].Calls.Offered; float64(deep) < 0.99*float64(r.Calls.Served) {
 		t.Errorf("the last tier saw %d of %d calls", deep, r.Calls.Served)
 	}
 }
@@ -198,16 +198,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		e.Seed, e.Services[0].Rate, e.Warmup, e.Duration = 1, c.rate, dur(c.warmup), dur(c.duration)
+		e.Seed, e.Services[0].ClientRate, e.Warmup, e.Duration = 1, c.rate, dur(c.warmup), dur(c.duration)
 		r := run(t, e)
-		if got := r.Calls; got.Asked < c.least || float64(got.InTime) < 0.99*float64(got.Asked) {
-			t.Errorf("%v calls a second: %d of %d in time through 24 tiers", c.rate, got.InTime, got.Asked)
+		if got := r.Calls; got.Offered < c.least || float64(got.InTime) < 0.99*float64(got.Offered) {
+			t.Errorf("%v calls a second: %d of %d in time through 24 tiers", c.rate, got.InTime, got.Offered)
 		}
-		if deep := r.Services[23].Calls.Asked; float64(deep) < 0.99*float64(r.Calls.Served) {
+		if deep := r.Services[23].Calls.Offered; float64(deep) < 0.99*float64(r.Calls.Served) {
 			t.Errorf("%v calls a second: the last tier saw %d of %d", c.rate, deep, r.Calls.Served)
 		}
-		if r.Rules.Backstops > 0 {
-			t.Errorf("%v calls a second: %d answered for the module", c.rate, r.Rules.Backstops)
+		if r.Violations.Backstops > 0 {
+			t.Errorf("%v calls a second: %d answered for the module", c.rate, r.Violations.Backstops)
 		}
 	}
 }
@@ -223,17 +223,17 @@
 // TestThinnedCallsLoadEndpointsInFull: the calls that are not played still take their part of the cores.
 func TestThinnedCallsLoadEndpointsInFull(t *testing.T) {
 	e := small()
-	e.Services[1].Cores, e.Services[1].Work = 1, dur(30*time.Millisecond) // six tenths busy
+	e.Services[1].Cores, e.Services[1].MeanWork = 1, dur(30*time.Millisecond) // six tenths busy
 	whole := run(t, e)
 	for i := range e.Services {
-		e.Services[i].Thin = 0.2
+		e.Services[i].SimulatedShare = 0.2
 	}
 	thin := run(t, e)
-	if share := float64(thin.Calls.Asked) / float64(whole.Calls.Asked); share < 0.17 || share > 0.23 {
-		t.Errorf("%d of %d calls were played", thin.Calls.Asked, whole.Calls.Asked)
+	if share := float64(thin.Calls.Offered) / float64(whole.Calls.Offered); share < 0.17 || share > 0.23 {
+		t.Errorf("%d of %d calls were played", thin.Calls.Offered, whole.Calls.Offered)
 	}
-	if thin.Thinned["store"] != 0.2 || len(whole.Thinned) > 0 {
-		t.Errorf("thinned: %v and %v", thin.Thinned, whole.Thinned)
+	if thin.SimulatedShares["store"] != 0.2 || len(whole.SimulatedShares) > 0 {
+		t.Errorf("thinned: %v and %v", thin.SimulatedShares, whole.SimulatedShares)
 	}
 	a, b := whole.Services[1].Calls.P50, thin.Services[1].Calls.P50
 	if b < 0.5*a || b > 2*a {
@@ -248,7 +248,7 @@
 		"no classes":      func(e *experiment.Experiment) { e.Classes = nil },
 		"an effect":       func(e *experiment.Experiment) { e.Classes[0].Effect = "odd" },
 		"no time":         func(e *experiment.Experiment) { e.Duration = 0 },
-		"no deadline":     func(e *experiment.Experiment) { e.Classes[0].GiveUp = 0 },
+		"no deadline":     func(e *experiment.Experiment) { e.Classes[0].Timeout = 0 },
 		"a ring":          func(e *experiment.Experiment) { e.Services[1].Calls = []experiment.Call{{To: "front", Times: 1}} },
 		"a lost service":  func(e *experiment.Experiment) { e.Services[1].Calls = []experiment.Call{{To: "lost", Times: 1}} },
 		"no cores":        func(e *experiment.Experiment) { e.Services[1].Cores = 0 },
--- a/internal/fleet/full_test.go
+++ b/internal/fleet/full_test.go
@@ -15,11 +15,11 @@
 	e.Name = "full"
 	e.Regions = []experiment.Region{{Name: "a", Zones: 3, Racks: 8}, {Name: "b", Zones: 3, Racks: 8},
 		{Name: "c", Zones: 3, Racks: 8}, {Name: "d", Zones: 2, Racks: 8}}
-	e.Network.Regions = dur(5 * time.Millisecond)
+	e.Network.BetweenRegions = dur(5 * time.Millisecond)
 	e.Discovery.Instances = 4
 	e.Classes = nil
 	for _, c := range small().Classes {
-		c.Aim, c.GiveUp = dur(2*time.Second), dur(5*time.Second)
+		c.TargetLatency, c.Timeout = dur(2*time.Second), dur(5*time.Second)
 		e.Classes = append(e.Classes, c)
 	}
 	e.Services = nil
@@ -29,8 +29,8 @@
 		if i >= 92 {
 			tier, place = 23, i-92
 		}
-		s := experiment.Service{Name: fmt.Sprintf("s%02d", i), Endpoints: 26, Cores: 4, Work: dur(5 * time.Millisecond),
-			Slots: 128, Thin: 0.05}
+		s := experiment.Service{Name: fmt.Sprintf("s%02d", i), Endpoints: 26, Cores: 4, MeanWork: dur(5 * time.Millisecond),
+			Slots: 128, SimulatedShare: 0.05}
 		if tier < 23 {
 			next := 4 * (tier + 1)
 			s.Calls = []experiment.Call{{To: fmt.Sprintf("s%02d", next+place), Times: 0.9}}
@@ -39,12 +39,12 @@
 			}
 		}
 		if tier == 0 {
-			s.Front, s.Rate = 100, 2000
+			s.FrontSidecars, s.ClientRate = 100, 2000
 		}
 		e.Services = append(e.Services, s)
 	}
-	e.Services[0].Thin, e.Services[1].Thin = 1, 1 // in full
-	for i := range e.Services {                   // 2,800 sidecars: 400 at the front, 92 services with callers
+	e.Services[0].SimulatedShare, e.Services[1].SimulatedShare = 1, 1 // in full
+	for i := range e.Services {                                       // 2,800 sidecars: 400 at the front, 92 services with callers
 		if i < 8 {
 			e.Services[i].Endpoints = 27
 		}
@@ -59,13 +59,13 @@
 	e := full()
 	e.Warmup, e.Duration = dur(4*time.Second), dur(time.Second)
 	r := run(t, e)
-	r.Series, r.Services, r.Thinned = nil, nil, nil
+	r.Series, r.Services, r.SimulatedShares = nil, nil, nil
 	show(t, r)
-	if r.Processes != 2800 {
-		t.Errorf("%d hollow sidecars", r.Processes)
+	if r.Sidecars != 2800 {
+		t.Errorf("%d hollow sidecars", r.Sidecars)
 	}
-	if c := r.Calls; float64(c.Served) < 0.98*float64(c.Asked) {
-		t.Errorf("%d of %d calls served", c.Served, c.Asked)
+	if c := r.Calls; float64(c.Served) < 0.98*float64(c.Offered) {
+		t.Errorf("%d of %d calls served", c.Served, c.Offered)
 	}
 }
 
@@ -75,15 +75,15 @@
 		e := full()
 		e.Duration = dur(60 * time.Second)
 		e.Faults = []experiment.Fault{
-			{Kind: "zone", At: dur(10 * time.Second), For: dur(8 * time.Second), Target: "1/1"},
-			{Kind: "down", At: dur(30 * time.Second), For: dur(8 * time.Second)},
-			{Kind: "restart", At: dur(42 * time.Second), For: dur(10 * time.Second), Count: 280},
+			{Kind: "zone", At: dur(10 * time.Second), Duration: dur(8 * time.Second), Target: "1/1"},
+			{Kind: "down", At: dur(30 * time.Second), Duration: dur(8 * time.Second)},
+			{Kind: "restart", At: dur(42 * time.Second), Duration: dur(10 * time.Second), Count: 280},
 		}
 		r := run(b, e)
-		r.Series, r.Services, r.Thinned = nil, nil, nil
+		r.Series, r.Services, r.SimulatedShares = nil, nil, nil
 		show(b, r)
-		b.ReportMetric(r.HeapMB, "heap-MB")
-		b.ReportMetric(r.PerKB, "KB/sidecar")
+		b.ReportMetric(r.PeakHeapMB, "heap-MB")
+		b.ReportMetric(r.HeapPerSidecarKB, "KB/sidecar")
 		b.ReportMetric(r.Control.ModuleMicrosPerCall, "module-µs/call")
 		b.ReportMetric(r.Control.ModuleMicrosPerList, "module-µs/list")
 	}
--- a/internal/fleet/measure.go
+++ b/internal/fleet/measure.go
@@ -59,10 +59,10 @@
 	if !c.measured {
 		return
 	}
-	f.services[f.tiers[c.tier].service].stats.Asked++
+	f.services[f.tiers[c.tier].service].stats.Offered++
 	if c.parent < 0 {
-		f.total.Asked++
-		f.second(c.arrived).Asked++
+		f.total.Offered++
+		f.second(c.arrived).Offered++
 	}
 }
 
@@ -100,7 +100,7 @@
 		stats.Failed++
 	default:
 		stats.Served++
-		if f.now-c.arrived <= int64(f.exp.Classes[c.class].Aim) {
+		if f.now-c.arrived <= int64(f.exp.Classes[c.class].TargetLatency) {
 			stats.InTime++
 		}
 		record(stats.latency, f.now-c.arrived)
@@ -114,10 +114,10 @@
 		return
 	}
 	for _, stats := range [...]*callStats{&f.total, &f.services[service].stats} {
-		stats.Asked++
+		stats.Offered++
 		stats.Failed++
 	}
-	f.second(f.now).Asked++
+	f.second(f.now).Offered++
 	f.second(f.now).Failed++
 }
 
@@ -241,29 +241,29 @@
 func (f *fleet) result(began time.Time) *experiment.Result {
 	e, virtual := f.exp, float64(f.end-f.from)/1e9
 	r := &experiment.Result{
-		Name: e.Name, Seed: e.Seed, Version: version(), Virtual: virtual, Real: time.Since(began).Seconds(),
-		HeapMB: float64(f.heapMost) / (1 << 20), Processes: len(f.processes),
-		PerKB: float64(f.heapBuilt) / 1024 / float64(max(len(f.processes), 1)), Thinned: map[string]float64{},
-		Calls: f.total.result(), Series: f.seconds, Rules: f.rules,
+		Name: e.Name, Seed: e.Seed, Version: version(), VirtualSeconds: virtual, RealSeconds: time.Since(began).Seconds(),
+		PeakHeapMB: float64(f.heapMost) / (1 << 20), Sidecars: len(f.processes),
+		HeapPerSidecarKB: float64(f.heapBuilt) / 1024 / float64(max(len(f.processes), 1)), SimulatedShares: map[string]float64{},
+		Calls: f.total.result(), Series: f.seconds, Violations: f.rules,
 	}
 	for i := range f.services {
 		s := &f.services[i]
 		if s.share < 1 {
-			r.Thinned[s.Name] = s.share
+			r.SimulatedShares[s.Name] = s.share
 		}
-		r.Rules.ColdFalls += int64(s.falls)
+		r.Violations.ColdCrashes += int64(s.falls)
 		r.Services = append(r.Services, experiment.ServiceResult{
-			Name: s.Name, Calls: s.stats.result(), Falls: s.falls, WorstCold: s.worstCold,
+			Name: s.Name, Calls: s.stats.result(), ColdCrashes: s.falls, WorstColdRatio: s.worstCold,
 		})
 		for k := range s.log {
 			if c := &s.log[k]; f.measured(c.made) && c.pending > 0 {
-				r.Control.Unspread++
+				r.Control.UnpropagatedChanges++
 			}
 		}
 	}
 	for i := range f.calls {
 		if c := &f.calls[i]; c.measured && c.place >= 0 && !c.ended && c.tier >= 0 {
-			r.Rules.NoAnswer++
+			r.Violations.Unanswered++
 		}
 	}
 	f.controlResult(&r.Control, virtual)
@@ -271,17 +271,17 @@
 		r.Faults = append(r.Faults, f.faultResult(i))
 		switch f.faults[i].Kind {
 		case "down", "silent", "refusing":
-			if told := r.Faults[i].ToldMax; told < 0 || r.Control.ToldMax < 0 {
-				r.Control.ToldMax = -1
+			if told := r.Faults[i].ResyncMax; told < 0 || r.Control.ResyncMax < 0 {
+				r.Control.ResyncMax = -1
 			} else {
-				r.Control.ToldMax = max(r.Control.ToldMax, told)
+				r.Control.ResyncMax = max(r.Control.ResyncMax, told)
 			}
 		}
 	}
 	return r
 }
 
-func (f *fleet) controlResult(r *experiment.Control, virtual float64) {
+func (f *fleet) controlResult(r *experiment.ControlTraffic, virtual float64) {
 	calls := int64(0)
 	for i := range f.seconds {
 		calls += f.seconds[i].ListCalls
@@ -290,7 +290,7 @@
 	c, m := &f.control, &f.meter
 	r.CallsPerSecond = float64(calls) / virtual
 	r.RefusedCalls, r.PeakQueue = c.refusals, c.peakQueue
-	r.DiscoveryBusy = float64(c.busyFor) / 1e9 / virtual / float64(len(f.disco.instances))
+	r.DiscoveryUtilization = float64(c.busyFor) / 1e9 / virtual / float64(len(f.disco.instances))
 	r.SidecarBytesPerSecond = float64(c.out) / virtual / float64(max(len(f.processes), 1))
 	r.DiscoveryBytesPerSecond = float64(c.discoOut) / virtual
 	if m.timed > 0 && m.taken > 0 {
@@ -301,8 +301,8 @@
 		r.ModuleMicrosPerList = float64(m.listSpent.Nanoseconds()) / float64(m.lists) / 1000
 	}
 	if c.spreads.TotalCount() > 0 {
-		r.SpreadP50, r.SpreadP99 = quantile(c.spreads, 50), quantile(c.spreads, 99)
-		r.SpreadMax = float64(c.spreads.Max()) / 1000
+		r.PropagationP50, r.PropagationP99 = quantile(c.spreads, 50), quantile(c.spreads, 99)
+		r.PropagationMax = float64(c.spreads.Max()) / 1000
 	}
 }
 
@@ -310,13 +310,13 @@
 // in a hundred more than in the ten seconds before it is not served.
 func (f *fleet) faultResult(i int) experiment.FaultResult {
 	ft := &f.faults[i]
-	r := experiment.FaultResult{Fault: ft.Kind, At: ms(ft.at - f.from), Recovered: -1, ToldMax: -1}
+	r := experiment.FaultResult{Fault: ft.Kind, At: ms(ft.at - f.from), RecoveryTime: -1, ResyncMax: -1}
 	if ft.Target != "" {
 		r.Fault += " " + ft.Target
 	}
 	first, asked, good := int((ft.at-f.from)/1e9), 0.0, 0.0
 	for k := max(first-beforeFault, 0); k < min(first, len(f.seconds)); k++ {
-		asked += float64(f.seconds[k].Asked)
+		asked += float64(f.seconds[k].Offered)
 		good += float64(f.seconds[k].Served)
 	}
 	share := 1.0
@@ -325,20 +325,20 @@
 	}
 	end, last := float64(ft.until-f.from)/1e9, len(f.seconds)
 	for k := int(math.Ceil(end)); k < len(f.seconds); k++ {
-		if s := &f.seconds[k]; float64(s.Served) >= (share-asBeforeLess)*float64(s.Asked) {
-			r.Recovered, last = 1000*(float64(k)-end), k
+		if s := &f.seconds[k]; float64(s.Served) >= (share-asBeforeLess)*float64(s.Offered) {
+			r.RecoveryTime, last = 1000*(float64(k)-end), k
 			break
 		}
 	}
 	for k := first; k < last; k++ {
 		s := &f.seconds[k]
-		r.Lost += s.Refused + s.Failed + s.Late
+		r.LostCalls += s.Refused + s.Failed + s.Late
 	}
 	told := len(f.seconds) // a second in which all have been answered
 	for k := range f.ends {
 		if e := &f.ends[k]; int(e.fault) == i {
 			if e.pending == 0 {
-				r.ToldMax = ms(e.told)
+				r.ResyncMax = ms(e.told)
 				told = int(math.Ceil(end + float64(e.told)/1e9))
 			}
 		}
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -28,7 +28,7 @@
 
 // delay is the time that a message takes.
 func (n *network) delay(from, to place, r *source) int64 {
-	d := time.Duration(n.Regions)
+	d := time.Duration(n.BetweenRegions)
 	switch {
 	case from.zone == to.zone:
 		d = time.Duration(n.SameZone)
@@ -36,8 +36,8 @@
 		d = time.Duration(n.SameRegion)
 	}
 	at := int64(float64(d) * (1 + jitter*(2*r.float()-1)))
-	for n.Loss > 0 && r.float() < n.Loss {
-		at += int64(n.Retransmit)
+	for n.LossRate > 0 && r.float() < n.LossRate {
+		at += int64(n.RetransmitDelay)
 	}
 	return at
 }
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -235,7 +235,7 @@
 	c.wait += f.now - c.idleFrom
 
 	generation := uint16(action.Server / uint32(len(f.endpoints)))
-	idle := int64(idlePart * float64(f.exp.Sidecar.ConnIdle))
+	idle := int64(idlePart * float64(f.exp.Sidecar.IdleTimeout))
 	if k.gen != generation || idle > 0 && f.now-k.lastUsed > idle {
 		k.gen, k.idle = generation, 0
 	}
@@ -374,7 +374,7 @@
 // finishOnce gives a call the final answer that the module has made.
 func (f *fleet) finishOnce(id int32, s status) {
 	if id < 0 || f.calls[id].ended {
-		f.rules.TwoAnswers++
+		f.rules.DuplicateAnswers++
 		return
 	}
 	f.finish(id, s)
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -80,7 +80,7 @@
 	seconds             []experiment.Second
 	control             control
 	meter               meter
-	rules               experiment.Rules
+	rules               experiment.Violations
 	heapMost, heapBuilt int64
 	err                 error
 }
@@ -115,7 +115,7 @@
 	}
 	longest := time.Duration(0)
 	for _, c := range e.Classes {
-		longest = max(longest, time.Duration(c.GiveUp))
+		longest = max(longest, time.Duration(c.Timeout))
 	}
 	f.from = int64(e.Warmup)
 	f.end = f.from + int64(e.Duration)
@@ -253,7 +253,7 @@
 	}
 	longest := 0.0
 	for _, c := range e.Classes {
-		longest = max(longest, seconds(c.GiveUp))
+		longest = max(longest, seconds(c.Timeout))
 	}
 	for i := range services {
 		s := &services[i]
@@ -261,7 +261,7 @@
 		for _, to := range s.inner {
 			bytes += int64(s.Endpoints) * (perTier + perServer*int64(services[to].Endpoints))
 		}
-		bytes += int64(s.Front) * (perTier + perServer*int64(s.Endpoints))
+		bytes += int64(s.FrontSidecars) * (perTier + perServer*int64(s.Endpoints))
 		played := s.trueRate * s.share
 		bytes += int64(played * (longest*perCall + 10*perRecent))
 	}
--- a/internal/fleet/stand_in_test.go
+++ b/internal/fleet/stand_in_test.go
@@ -56,7 +56,7 @@
 
 // TestBrokenRulesAreCounted has the host do what the module does not.
 func TestBrokenRulesAreCounted(t *testing.T) {
-	f := built(t, func(e *experiment.Experiment) { e.Services[0].Rate = 0 })
+	f := built(t, func(e *experiment.Experiment) { e.Services[0].ClientRate = 0 })
 	f.until(10 * time.Second)
 	front := f.processes[f.services[0].fronts[0]].tierFrom
 	take := func(class uint16) int32 {
@@ -71,7 +71,7 @@
 		t.Errorf("an unsafe call sent twice: %+v", f.rules)
 	}
 	f.finishOnce(f.callOf(front, f.requestID(c)), failed)
-	if f.rules.TwoAnswers != 1 {
+	if f.rules.DuplicateAnswers != 1 {
 		t.Errorf("a second answer: %+v", f.rules)
 	}
 
@@ -110,13 +110,13 @@
 func TestColdEndpointsFallWhereTheSettingsAllowLittle(t *testing.T) {
 	e := small()
 	e.Duration = dur(30 * time.Second)
-	e.Faults = []experiment.Fault{{Kind: "restart", At: dur(time.Second), For: dur(8 * time.Second), Target: "front", Count: 6}}
-	if r := run(t, e); r.Rules.ColdFalls != 0 || r.Services[0].WorstCold <= 0 {
-		t.Errorf("with three times its capacity allowed: %+v, worst %v", r.Rules, r.Services[0].WorstCold)
+	e.Faults = []experiment.Fault{{Kind: "restart", At: dur(time.Second), Duration: dur(8 * time.Second), Target: "front", Count: 6}}
+	if r := run(t, e); r.Violations.ColdCrashes != 0 || r.Services[0].WorstColdRatio <= 0 {
+		t.Errorf("with three times its capacity allowed: %+v, worst %v", r.Violations, r.Services[0].WorstColdRatio)
 	}
-	e.Services[0].Rate, e.Sidecar.FallMultiple = 600, 0.01
-	if r := run(t, e); r.Rules.ColdFalls == 0 {
-		t.Errorf("with a hundredth allowed: %+v, worst %v", r.Rules, r.Services[0].WorstCold)
+	e.Services[0].ClientRate, e.Sidecar.OverloadMultiple = 600, 0.01
+	if r := run(t, e); r.Violations.ColdCrashes == 0 {
+		t.Errorf("with a hundredth allowed: %+v, worst %v", r.Violations, r.Services[0].WorstColdRatio)
 	}
 }
 
@@ -125,13 +125,13 @@
 func TestDiscoveryHandlesCallsInTurn(t *testing.T) {
 	e := small()
 	e.Duration = dur(60 * time.Second)
-	e.Discovery.Instances, e.Discovery.CallTime, e.Discovery.MaxWait = 1, dur(400*time.Millisecond), dur(time.Second)
-	e.Faults = []experiment.Fault{{Kind: "down", At: dur(time.Second), For: dur(time.Second)}}
+	e.Discovery.Instances, e.Discovery.CallTime, e.Discovery.MaxQueueTime = 1, dur(400*time.Millisecond), dur(time.Second)
+	e.Faults = []experiment.Fault{{Kind: "down", At: dur(time.Second), Duration: dur(time.Second)}}
 	r := run(t, e)
-	if c := r.Control; c.RefusedCalls == 0 || c.PeakQueue < 2 || c.PeakQueue > 4 || c.ToldMax <= 0 {
+	if c := r.Control; c.RefusedCalls == 0 || c.PeakQueue < 2 || c.PeakQueue > 4 || c.ResyncMax <= 0 {
 		t.Errorf("%+v", c)
 	}
-	if r.Faults[0].ToldMax != r.Control.ToldMax || r.Faults[0].ListCalls < 20 {
+	if r.Faults[0].ResyncMax != r.Control.ResyncMax || r.Faults[0].ListCalls < 20 {
 		t.Errorf("%+v", r.Faults[0])
 	}
 }
@@ -142,8 +142,8 @@
 		f := built(t, func(e *experiment.Experiment) {
 			e.Discovery.Pushed = pushed
 			e.Faults = []experiment.Fault{
-				{Kind: "split", At: 0, For: dur(2 * time.Second), Target: "south"},
-				{Kind: "machine", At: dur(500 * time.Millisecond), For: dur(20 * time.Second), Target: "store", Count: 2},
+				{Kind: "split", At: 0, Duration: dur(2 * time.Second), Target: "south"},
+				{Kind: "machine", At: dur(500 * time.Millisecond), Duration: dur(20 * time.Second), Target: "store", Count: 2},
 			}
 		})
 		behind := func() (n int) {
@@ -167,10 +167,10 @@
 
 func TestWatchesAreInOrder(t *testing.T) {
 	e := small()
-	e.Network.Loss = 0.2
-	e.Faults = []experiment.Fault{{Kind: "changes", At: 0, For: dur(5 * time.Second), Count: 300}}
+	e.Network.LossRate = 0.2
+	e.Faults = []experiment.Fault{{Kind: "changes", At: 0, Duration: dur(5 * time.Second), Count: 300}}
 	r := run(t, e)
-	if r.Control.Unspread != 0 || r.Control.SpreadMax <= 300 {
+	if r.Control.UnpropagatedChanges != 0 || r.Control.PropagationMax <= 300 {
 		t.Errorf("%+v", r.Control)
 	}
 }
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -64,10 +64,10 @@
 	services := make([]service, len(e.Services))
 	number := make(map[string]int, len(services))
 	for i, s := range e.Services {
-		if s.Thin == 0 {
-			s.Thin = 1
+		if s.SimulatedShare == 0 {
+			s.SimulatedShare = 1
 		}
-		if s.Endpoints < 1 || !(s.Cores > 0) || s.Work <= 0 || s.Slots < 1 || s.Thin < 0 || s.Thin > 1 || s.Rate < 0 {
+		if s.Endpoints < 1 || !(s.Cores > 0) || s.MeanWork <= 0 || s.Slots < 1 || s.SimulatedShare < 0 || s.SimulatedShare > 1 || s.ClientRate < 0 {
 			return nil, fmt.Errorf("%w: service %q: endpoints, cores, work, slots or thin", errShape, s.Name)
 		}
 		services[i] = service{Service: s, factor: 1}
@@ -104,18 +104,18 @@
 	played := make([]float64, len(services))
 	for k := 0; k < len(order); k++ {
 		s := &services[order[k]]
-		if s.Front > 0 {
-			s.trueRate += s.Rate
-			played[order[k]] += s.Rate * s.Thin
+		if s.FrontSidecars > 0 {
+			s.trueRate += s.ClientRate
+			played[order[k]] += s.ClientRate * s.SimulatedShare
 		}
-		if s.share = s.Thin; s.trueRate > 0 {
+		if s.share = s.SimulatedShare; s.trueRate > 0 {
 			s.share = played[order[k]] / s.trueRate
 		}
 		for c := range s.calls {
 			spec := &s.calls[c]
 			to := int(s.inner[spec.tier])
 			services[to].trueRate += s.trueRate * spec.played
-			spec.played *= min(1, services[to].Thin/max(s.share, 1e-9))
+			spec.played *= min(1, services[to].SimulatedShare/max(s.share, 1e-9))
 			played[to] += played[order[k]] * spec.played
 			services[to].depth = max(services[to].depth, s.depth+1)
 		}
@@ -144,12 +144,12 @@
 		Copies: len(s.tiers), Rank: rank, Zone: int(at.zone), PollList: !f.exp.Discovery.Pushed,
 		Classes: f.classes,
 		Limits: forkline.Limits{
-			MaxAttempts: side.MaxAttempts, CancelAttempts: true, IdleTimeout: ms(int64(side.ConnIdle)), MaxStreams: 1,
+			MaxAttempts: side.MaxAttempts, CancelAttempts: true, IdleTimeout: ms(int64(side.IdleTimeout)), MaxStreams: 1,
 		},
 		Safety: forkline.Safety{
-			AnswerSlack: ms(ns(answerSlack)), DrainGrace: ms(int64(side.DrainGrace)), ColdCapacity: side.ColdFrom,
-			RampTime: ms(int64(side.Ramp)), OverloadMultiple: side.FallMultiple, OverloadWindow: ms(int64(side.FallAfter)),
-			PollInterval: ms(int64(side.AskEvery)),
+			AnswerSlack: ms(ns(answerSlack)), DrainGrace: ms(int64(side.DrainGrace)), ColdCapacity: side.ColdCapacity,
+			RampTime: ms(int64(side.RampTime)), OverloadMultiple: side.OverloadMultiple, OverloadWindow: ms(int64(side.OverloadWindow)),
+			PollInterval: ms(int64(side.PollInterval)),
 		},
 	}
 	set.Stages = s.height + 1
@@ -169,7 +169,7 @@
 			return nil, fmt.Errorf("%w: class %q: effect %q", errShape, c.Name, c.Effect)
 		}
 		m := forkline.Class{
-			Name: c.Name, Value: c.Worth, TargetLatency: ms(int64(c.Aim)), Timeout: ms(int64(c.GiveUp)), Effect: effect,
+			Name: c.Name, Value: c.Value, TargetLatency: ms(int64(c.TargetLatency)), Timeout: ms(int64(c.Timeout)), Effect: effect,
 		}
 		if effect == forkline.Keyed {
 			m.DedupWindow = m.Timeout // all endpoints of a service remember a key for as long as its call may last
@@ -226,7 +226,7 @@
 	}
 	for i := range f.services {
 		s := &f.services[i]
-		for range s.Front {
+		for range s.FrontSidecars {
 			s.fronts = append(s.fronts, f.addProcess(deal(turn), -1, []int32{int32(i)}))
 			turn++
 		}
