--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -74,7 +74,7 @@
 	PropagationP99          float64 `json:"spread_p99_ms"`
 	PropagationMax          float64 `json:"spread_max_ms"`
 	UnpropagatedChanges     int64   `json:"unspread"`    // changes that some sidecar had not applied at the end of the run
-	ResyncMax               float64 `json:"told_max_ms"` // longest ResyncMax of a fault of discovery; -1 if not in this run
+	ResyncMax               float64 `json:"told_max_ms"` // longest ResyncMax of the discovery faults; -1 if one has none
 }
 
 // FaultResult holds the impact of one fault.
--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -7,53 +7,53 @@
 )
 
 // frontNotices is how long clients are still led to a front sidecar that is down.
-const frontNotices = 2 * time.Second
+const frontFailureDelay = 2 * time.Second
 
 // schedule draws when the next client of a service calls. Clients are many: they call at random, whether or not they are
 // served, and do not come again.
-func (f *fleet) schedule(id int32) {
+func (f *fleet) scheduleClientCall(id int32) {
 	s := &f.services[id]
-	perSecond := s.ClientRate * s.SimulatedShare * s.factor
-	if len(s.fronts) == 0 || !(perSecond > 0) {
+	perSecond := s.ClientRate * s.SimulatedShare * s.rateFactor
+	if len(s.frontSidecars) == 0 || !(perSecond > 0) {
 		return
 	}
-	f.at(f.now+int64(s.clients.exp()/perSecond*1e9), evArrive, id, s.arrivals, 0)
+	f.schedule(f.now+int64(s.clientRand.exp()/perSecond*1e9), evClientCall, id, s.arrivalGen, 0)
 }
 
 // arrive is a client's call, at one of the front sidecars of its service.
-func (f *fleet) arrive(ev *event) {
+func (f *fleet) clientCall(ev *event) {
 	s := &f.services[ev.id]
-	if ev.gen != s.arrivals || f.now >= f.end {
+	if ev.gen != s.arrivalGen || f.now >= f.measureEnd {
 		return
 	}
-	f.schedule(ev.id)
-	class, at := uint16(0), s.clients.float()*f.shares
+	f.scheduleClientCall(ev.id)
+	class, draw := uint16(0), s.clientRand.uniform()*f.shareSum
 	for i := range f.exp.Classes {
-		if class = uint16(i); at < f.exp.Classes[i].Share {
+		if class = uint16(i); draw < f.exp.Classes[i].Share {
 			break
 		}
-		at -= f.exp.Classes[i].Share
+		draw -= f.exp.Classes[i].Share
 	}
-	first := s.clients.below(len(s.fronts))
-	for i := range s.fronts {
-		p := &f.processes[s.fronts[(first+i)%len(s.fronts)]]
+	first := s.clientRand.intn(len(s.frontSidecars))
+	for i := range s.frontSidecars {
+		p := &f.sidecars[s.frontSidecars[(first+i)%len(s.frontSidecars)]]
 		if p.up {
-			f.take(p.tierFrom, class, f.now+int64(f.exp.Classes[class].Timeout), -1)
+			f.startCall(p.firstTier, class, f.now+int64(f.exp.Classes[class].Timeout), -1)
 			return
 		}
-		if f.now < p.downAt+ns(frontNotices) {
+		if f.now < p.downAt+toNanos(frontFailureDelay) {
 			break
 		}
 	}
-	f.unanswered(ev.id)
+	f.countNoSidecar(ev.id)
 }
 
 // quicken changes the rate of a service's clients; what they would have done is drawn anew.
-func (f *fleet) quicken(id int32, factor float64) {
+func (f *fleet) scaleClientRate(id int32, factor float64) {
 	s := &f.services[id]
-	s.factor *= factor
-	s.arrivals++
-	f.schedule(id)
+	s.rateFactor *= factor
+	s.arrivalGen++
+	f.scheduleClientCall(id)
 }
 
 func sumShares(classes []experiment.Class) float64 {
--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -11,328 +11,328 @@
 // does; a request that waits for a call of its own holds a slot and no core. An endpoint does its own work first, then
 // makes its calls one after another. Requests that are not played take their mean of the cores.
 type endpoint struct {
-	place
-	source
-	service  int32
-	process  int32 // of its sidecar; -1 if it calls nobody
-	gen      uint16
-	up       bool
-	silent   bool // it is down and says nothing: its machine has vanished
-	fallen   bool
-	draining bool
-	down     int   // faults that hold it down
-	started  int64 // -1 = before the run
-	drainAt  int64
-	knownAt  int64 // when discovery knew that it drains, or is gone; 0 = it does not
-	oldKnown int64 // and that its predecessor did
-	work     []work
-	held     []int32 // attempts that hold a slot
-	progress float64 // seconds of work that each has been given
-	speed    float64 // seconds of work a second, for each
-	at       int64   // of progress
-	wakeAt   int64   // of the pending evWork; 0 = none
-	window   []int64 // when calls came, while it is cold
+	location
+	randSource
+	service            int32
+	sidecar            int32 // of its sidecar; -1 if it calls nobody
+	gen                uint16
+	up                 bool
+	vanished           bool // it is down and says nothing: its machine has vanished
+	crashed            bool
+	draining           bool
+	downFaults         int   // faults that hold it down
+	startedAt          int64 // -1 = before the run
+	drainStart         int64
+	drainKnownAt       int64 // when discovery knew that it drains, or is gone; 0 = it does not
+	predecessorKnownAt int64 // and that its predecessor did
+	workHeap           []workItem
+	slots              []int32 // attempts that hold a slot
+	progress           float64 // seconds of work that each has been given
+	speed              float64 // seconds of work a second, for each
+	progressAt         int64   // of progress
+	wakeAt             int64   // of the pending evWork; 0 = none
+	recentCalls        []int64 // when calls came, while it is cold
 }
 
 // work is what an attempt still needs, as the endpoint's progress at its end.
-type work struct {
-	end     float64
-	attempt int32
+type workItem struct {
+	endProgress float64
+	attempt     int32
 }
 
 // coldShare is the part of its capacity that an endpoint has now.
-func (f *fleet) coldShare(e *endpoint) float64 {
-	side := &f.exp.Sidecar
-	if e.started < 0 || side.RampTime <= 0 {
+func (f *fleet) capacityShare(e *endpoint) float64 {
+	cfg := &f.exp.Sidecar
+	if e.startedAt < 0 || cfg.RampTime <= 0 {
 		return 1
 	}
-	age := float64(f.now-e.started) / float64(side.RampTime)
-	return min(1, side.ColdCapacity+(1-side.ColdCapacity)*max(age, 0))
+	age := float64(f.now-e.startedAt) / float64(cfg.RampTime)
+	return min(1, cfg.ColdCapacity+(1-cfg.ColdCapacity)*max(age, 0))
 }
 
 // busy is the cores that requests take which are not played.
-func (f *fleet) busy(e *endpoint) float64 {
+func (f *fleet) backgroundCores(e *endpoint) float64 {
 	s := &f.services[e.service]
-	if s.share >= 1 {
+	if s.simulatedShare >= 1 {
 		return 0
 	}
-	return s.started.value(f.now) * (1/s.share - 1) * seconds(s.MeanWork) / float64(max(s.up, 1))
+	return s.startRate.value(f.now) * (1/s.simulatedShare - 1) * seconds(s.MeanWork) / float64(max(s.endpointsUp, 1))
 }
 
 // advance gives the requests in work what they got since the last time.
-func (f *fleet) advance(e *endpoint) {
-	if len(e.work) > 0 {
-		e.progress += e.speed * float64(f.now-e.at) / 1e9
+func (f *fleet) advanceWork(e *endpoint) {
+	if len(e.workHeap) > 0 {
+		e.progress += e.speed * float64(f.now-e.progressAt) / 1e9
 	} else {
 		e.progress = 0
 	}
-	e.at = f.now
+	e.progressAt = f.now
 }
 
 // resume sets the speed anew, for now, and when the next request is done.
-func (f *fleet) resume(id int32, e *endpoint) {
-	if len(e.work) == 0 {
+func (f *fleet) rescheduleWork(id int32, e *endpoint) {
+	if len(e.workHeap) == 0 {
 		return
 	}
 	s := &f.services[e.service]
-	cores := s.Cores * f.coldShare(e)
-	free := max(cores-f.busy(e), cores*s.share)
-	e.speed = min(1, free/float64(len(e.work)))
-	left := max(e.work[0].end-e.progress, 0)
-	at := f.now + int64(math.Ceil(left/e.speed*1e9))
+	cores := s.Cores * f.capacityShare(e)
+	free := max(cores-f.backgroundCores(e), cores*s.simulatedShare)
+	e.speed = min(1, free/float64(len(e.workHeap)))
+	remaining := max(e.workHeap[0].endProgress-e.progress, 0)
+	at := f.now + int64(math.Ceil(remaining/e.speed*1e9))
 	if e.wakeAt == 0 || at < e.wakeAt {
 		e.wakeAt = at
-		f.at(at, evWork, id, e.gen, uint64(at))
+		f.schedule(at, evWorkDone, id, e.gen, uint64(at))
 	}
 }
 
 // worked ends the work on the requests whose time has come.
-func (f *fleet) worked(ev *event) {
+func (f *fleet) workDone(ev *event) {
 	e := &f.endpoints[ev.id]
 	if e.gen != ev.gen || uint64(e.wakeAt) != ev.arg {
 		return
 	}
 	e.wakeAt = 0
-	f.advance(e)
-	for len(e.work) > 0 && e.work[0].end <= e.progress+1e-9 {
+	f.advanceWork(e)
+	for len(e.workHeap) > 0 && e.workHeap[0].endProgress <= e.progress+1e-9 {
 		a := e.popWork()
-		f.attempts[a].inWork = false
-		f.proceed(a)
+		f.attempts[a].processing = false
+		f.continueRequest(a)
 	}
-	f.resume(ev.id, e)
+	f.rescheduleWork(ev.id, e)
 }
 
-func (e *endpoint) pushWork(w work) {
-	e.work = append(e.work, w)
-	for i := len(e.work) - 1; i > 0; {
-		up := (i - 1) / 2
-		if e.work[up].end <= e.work[i].end {
+func (e *endpoint) pushWork(w workItem) {
+	e.workHeap = append(e.workHeap, w)
+	for i := len(e.workHeap) - 1; i > 0; {
+		parent := (i - 1) / 2
+		if e.workHeap[parent].endProgress <= e.workHeap[i].endProgress {
 			return
 		}
-		e.work[i], e.work[up] = e.work[up], e.work[i]
-		i = up
+		e.workHeap[i], e.workHeap[parent] = e.workHeap[parent], e.workHeap[i]
+		i = parent
 	}
 }
 
 func (e *endpoint) popWork() int32 {
-	first, last := e.work[0].attempt, len(e.work)-1
-	e.work[0] = e.work[last]
-	e.work = e.work[:last]
+	first, last := e.workHeap[0].attempt, len(e.workHeap)-1
+	e.workHeap[0] = e.workHeap[last]
+	e.workHeap = e.workHeap[:last]
 	for i := 0; ; {
 		least := i
 		for c := 2*i + 1; c <= 2*i+2 && c < last; c++ {
-			if e.work[c].end < e.work[least].end {
+			if e.workHeap[c].endProgress < e.workHeap[least].endProgress {
 				least = c
 			}
 		}
 		if least == i {
 			return first
 		}
-		e.work[i], e.work[least] = e.work[least], e.work[i]
+		e.workHeap[i], e.workHeap[least] = e.workHeap[least], e.workHeap[i]
 		i = least
 	}
 }
 
 // dropWork takes an attempt out before its work is done.
-func (e *endpoint) dropWork(attempt int32) {
-	rest := slices.DeleteFunc(e.work, func(w work) bool { return w.attempt == attempt })
-	e.work = e.work[:0]
+func (e *endpoint) removeWork(attempt int32) {
+	rest := slices.DeleteFunc(e.workHeap, func(w workItem) bool { return w.attempt == attempt })
+	e.workHeap = e.workHeap[:0]
 	for _, w := range rest { // the heap is made anew in place: what is read lies ahead of what is written
 		e.pushWork(w)
 	}
 }
 
 // reach is an attempt's coming to its endpoint.
-func (f *fleet) reach(ev *event) {
+func (f *fleet) attemptArrives(ev *event) {
 	a := f.attemptOf(ev)
 	if a == nil {
 		return
 	}
-	a.flying = false
-	id, current := f.find(a.server)
+	a.inTransit = false
+	id, current := f.findEndpoint(a.server)
 	e := &f.endpoints[id]
 	switch {
-	case a.stopped:
+	case a.cancelled:
 		f.releaseAttempt(ev.id)
 		return
 	case !current || !e.up:
-		if !current || !e.silent {
-			f.answer(ev.id, forkline.ConnectFailed, e.place)
+		if !current || !e.vanished {
+			f.sendOutcome(ev.id, forkline.ConnectFailed, e.location)
 		} else {
 			f.releaseAttempt(ev.id)
 		}
 		return
 	}
-	if f.falls(id, e) {
-		f.answer(ev.id, forkline.Reset, e.place)
+	if f.crashesCold(id, e) {
+		f.sendOutcome(ev.id, forkline.Reset, e.location)
 		return
 	}
 	s := &f.services[e.service]
-	full := float64(len(e.held))+f.busy(e) >= float64(s.Slots)
-	drained := e.draining && f.now > e.drainAt+int64(f.exp.Sidecar.DrainGrace)
-	if full || drained || f.now >= a.until {
-		f.answer(ev.id, forkline.Rejected, e.place)
+	full := float64(len(e.slots))+f.backgroundCores(e) >= float64(s.Slots)
+	pastGrace := e.draining && f.now > e.drainStart+int64(f.exp.Sidecar.DrainGrace)
+	if full || pastGrace || f.now >= a.deadline {
+		f.sendOutcome(ev.id, forkline.Rejected, e.location)
 		return
 	}
 	if c := &f.calls[a.call]; c.gen == a.callGen {
-		if c.ran++; c.ran > 1 && f.classes[c.class].Effect == forkline.Unsafe {
-			f.rules.UnsafeRepeats++
+		if c.executions++; c.executions > 1 && f.classes[c.class].Effect == forkline.Unsafe {
+			f.violations.UnsafeRepeats++
 		}
 	}
-	s.started.add(f.now)
-	a.working, a.inWork, a.endpoint, a.place = true, true, id, int32(len(e.held))
-	e.held = append(e.held, ev.id)
-	f.advance(e)
-	e.pushWork(work{e.progress + e.exp()*seconds(s.MeanWork), ev.id})
-	f.resume(id, e)
+	s.startRate.add(f.now)
+	a.holdsSlot, a.processing, a.endpoint, a.slot = true, true, id, int32(len(e.slots))
+	e.slots = append(e.slots, ev.id)
+	f.advanceWork(e)
+	e.pushWork(workItem{e.progress + e.exp()*seconds(s.MeanWork), ev.id})
+	f.rescheduleWork(id, e)
 }
 
 // falls counts a call to a cold endpoint. It falls, and stays down, when more than N + 2 root N + 2 come in the time
 // that the settings name, N being what they allow at its present capacity.
-func (f *fleet) falls(id int32, e *endpoint) bool {
-	side := &f.exp.Sidecar
-	share := f.coldShare(e)
-	if share >= 1 || side.OverloadMultiple <= 0 || side.OverloadWindow <= 0 {
-		e.window = nil
+func (f *fleet) crashesCold(id int32, e *endpoint) bool {
+	cfg := &f.exp.Sidecar
+	share := f.capacityShare(e)
+	if share >= 1 || cfg.OverloadMultiple <= 0 || cfg.OverloadWindow <= 0 {
+		e.recentCalls = nil
 		return false
 	}
-	from := f.now - int64(side.OverloadWindow)
-	gone := 0
-	for gone < len(e.window) && e.window[gone] < from {
-		gone++
+	from := f.now - int64(cfg.OverloadWindow)
+	expired := 0
+	for expired < len(e.recentCalls) && e.recentCalls[expired] < from {
+		expired++
 	}
-	e.window = append(e.window[:0], e.window[gone:]...)
-	e.window = append(e.window, f.now)
+	e.recentCalls = append(e.recentCalls[:0], e.recentCalls[expired:]...)
+	e.recentCalls = append(e.recentCalls, f.now)
 	s := &f.services[e.service]
-	n := side.OverloadMultiple * share * s.Cores / seconds(s.MeanWork) * seconds(side.OverloadWindow) * s.share
-	ratio := float64(len(e.window)) / (n + 2*math.Sqrt(n) + 2)
-	s.worstCold = max(s.worstCold, ratio)
+	n := cfg.OverloadMultiple * share * s.Cores / seconds(s.MeanWork) * seconds(cfg.OverloadWindow) * s.simulatedShare
+	ratio := float64(len(e.recentCalls)) / (n + 2*math.Sqrt(n) + 2)
+	s.worstColdRatio = max(s.worstColdRatio, ratio)
 	if ratio > 1 {
-		s.falls++
-		e.fallen = true
-		f.goDown(id, false)
-		f.note(id, forkline.Removed)
+		s.coldCrashes++
+		e.crashed = true
+		f.takeDown(id, false)
+		f.reportState(id, forkline.Removed)
 	}
 	return ratio > 1
 }
 
 // proceed makes the next call for a request, or answers it.
-func (f *fleet) proceed(id int32) {
+func (f *fleet) continueRequest(id int32) {
 	a := &f.attempts[id]
 	e := &f.endpoints[a.endpoint]
 	s := &f.services[e.service]
-	for a.left == 0 {
-		if int(a.step) == len(s.calls) {
-			f.leave(id)
-			f.answer(id, forkline.OK, e.place)
+	for a.repeatsLeft == 0 {
+		if int(a.nextCallee) == len(s.calls) {
+			f.releaseSlot(id)
+			f.sendOutcome(id, forkline.OK, e.location)
 			return
 		}
-		spec := &s.calls[a.step]
-		whole, part := math.Modf(spec.played)
-		a.left = int32(whole)
-		if e.float() < part {
-			a.left++
+		spec := &s.calls[a.nextCallee]
+		integer, fraction := math.Modf(spec.timesSimulated)
+		a.repeatsLeft = int32(integer)
+		if e.uniform() < fraction {
+			a.repeatsLeft++
 		}
-		a.step++
+		a.nextCallee++
 	}
-	a.left--
-	p := &f.processes[e.process]
-	t := p.tierFrom + int32(s.calls[a.step-1].tier)
+	a.repeatsLeft--
+	p := &f.sidecars[e.sidecar]
+	t := p.firstTier + int32(s.calls[a.nextCallee-1].tier)
 	class := uint16(0)
 	if c := &f.calls[a.call]; c.gen == a.callGen {
 		class = c.class
 	}
-	f.take(t, class, a.until, id)
+	f.startCall(t, class, a.deadline, id)
 }
 
 // stepped hears how the call ended that a request had made.
-func (f *fleet) stepped(ev *event) {
+func (f *fleet) innerCallEnds(ev *event) {
 	a := f.attemptOf(ev)
-	if a == nil || !a.working {
+	if a == nil || !a.holdsSlot {
 		return
 	}
 	if status(ev.arg) == served {
-		f.proceed(ev.id)
+		f.continueRequest(ev.id)
 		return
 	}
 	e := &f.endpoints[a.endpoint]
-	f.leave(ev.id)
-	f.answer(ev.id, forkline.Error, e.place)
+	f.releaseSlot(ev.id)
+	f.sendOutcome(ev.id, forkline.Error, e.location)
 }
 
 // leave frees the slot of an attempt, and its part of the cores.
-func (f *fleet) leave(id int32) {
+func (f *fleet) releaseSlot(id int32) {
 	a := &f.attempts[id]
 	e := &f.endpoints[a.endpoint]
-	last := len(e.held) - 1
-	e.held[a.place] = e.held[last]
-	f.attempts[e.held[a.place]].place = a.place
-	e.held = e.held[:last]
-	if a.inWork {
-		f.advance(e)
-		e.dropWork(id)
-		f.resume(a.endpoint, e)
-	}
-	a.working, a.inWork = false, false
+	last := len(e.slots) - 1
+	e.slots[a.slot] = e.slots[last]
+	f.attempts[e.slots[a.slot]].slot = a.slot
+	e.slots = e.slots[:last]
+	if a.processing {
+		f.advanceWork(e)
+		e.removeWork(id)
+		f.rescheduleWork(a.endpoint, e)
+	}
+	a.holdsSlot, a.processing = false, false
 }
 
 // stopWork is an endpoint's hearing that nobody waits for an attempt any more: it does no more for it.
-func (f *fleet) stopWork(ev *event) {
+func (f *fleet) cancelArrives(ev *event) {
 	a := f.attemptOf(ev)
 	if a == nil {
 		return
 	}
-	if a.flying {
-		a.stopped = true
+	if a.inTransit {
+		a.cancelled = true
 		return
 	}
-	if !a.working {
+	if !a.holdsSlot {
 		return
 	}
-	child := a.child
-	a.child = -1
-	f.leave(ev.id)
+	innerCall := a.innerCall
+	a.innerCall = -1
+	f.releaseSlot(ev.id)
 	f.releaseAttempt(ev.id)
-	if child >= 0 {
-		f.gone(child)
+	if innerCall >= 0 {
+		f.callerGone(innerCall)
 	}
 }
 
 // goDown ends an endpoint and its sidecar. A machine that vanishes says nothing; a process that ends resets its
 // connections.
-func (f *fleet) goDown(id int32, silent bool) {
+func (f *fleet) takeDown(id int32, vanished bool) {
 	e := &f.endpoints[id]
 	if !e.up {
-		e.silent = e.silent || silent
+		e.vanished = e.vanished || vanished
 		return
 	}
-	f.services[e.service].up--
-	e.up, e.silent, e.draining, e.window = false, silent, false, nil
-	if e.process >= 0 {
-		f.endProcess(e.process)
+	f.services[e.service].endpointsUp--
+	e.up, e.vanished, e.draining, e.recentCalls = false, vanished, false, nil
+	if e.sidecar >= 0 {
+		f.stopSidecar(e.sidecar)
 	}
-	for _, a := range e.held {
+	for _, a := range e.slots {
 		at := &f.attempts[a]
-		at.working, at.inWork, at.child = false, false, -1
-		if silent {
+		at.holdsSlot, at.processing, at.innerCall = false, false, -1
+		if vanished {
 			f.releaseAttempt(a)
 		} else {
-			f.answer(a, forkline.Reset, e.place)
+			f.sendOutcome(a, forkline.Reset, e.location)
 		}
 	}
-	e.held, e.work, e.progress, e.wakeAt = e.held[:0], e.work[:0], 0, 0
+	e.slots, e.workHeap, e.progress, e.wakeAt = e.slots[:0], e.workHeap[:0], 0, 0
 }
 
 // comeUp starts an endpoint and its sidecar, cold.
-func (f *fleet) comeUp(id int32) {
+func (f *fleet) bringUp(id int32) {
 	e := &f.endpoints[id]
-	if e.up || e.fallen || e.down > 0 {
+	if e.up || e.crashed || e.downFaults > 0 {
 		return
 	}
-	f.services[e.service].up++
-	e.up, e.silent, e.started, e.at = true, false, f.now, f.now
-	if e.process >= 0 {
-		f.startProcess(e.process)
+	f.services[e.service].endpointsUp++
+	e.up, e.vanished, e.startedAt, e.progressAt = true, false, f.now, f.now
+	if e.sidecar >= 0 {
+		f.startSidecar(e.sidecar)
 	}
-	f.note(id, forkline.Ready)
+	f.reportState(id, forkline.Ready)
 }
--- a/internal/fleet/full_test.go
+++ b/internal/fleet/full_test.go
@@ -10,16 +10,16 @@
 
 // full is the whole size: 98 services in 24 tiers, 2,800 hollow sidecars, 4 regions with 11 zones. Two services take
 // their clients' calls in full, the rest are thinned.
-func full() *experiment.Experiment {
-	e := small()
+func fullSizeExperiment() *experiment.Experiment {
+	e := smallExperiment()
 	e.Name = "full"
 	e.Regions = []experiment.Region{{Name: "a", Zones: 3, Racks: 8}, {Name: "b", Zones: 3, Racks: 8},
 		{Name: "c", Zones: 3, Racks: 8}, {Name: "d", Zones: 2, Racks: 8}}
-	e.Network.BetweenRegions = dur(5 * time.Millisecond)
+	e.Network.BetweenRegions = duration(5 * time.Millisecond)
 	e.Discovery.Instances = 4
 	e.Classes = nil
-	for _, c := range small().Classes {
-		c.TargetLatency, c.Timeout = dur(2*time.Second), dur(5*time.Second)
+	for _, c := range smallExperiment().Classes {
+		c.TargetLatency, c.Timeout = duration(2*time.Second), duration(5*time.Second)
 		e.Classes = append(e.Classes, c)
 	}
 	e.Services = nil
@@ -29,7 +29,7 @@
 		if i >= 92 {
 			tier, place = 23, i-92
 		}
-		s := experiment.Service{Name: fmt.Sprintf("s%02d", i), Endpoints: 26, Cores: 4, MeanWork: dur(5 * time.Millisecond),
+		s := experiment.Service{Name: fmt.Sprintf("s%02d", i), Endpoints: 26, Cores: 4, MeanWork: duration(5 * time.Millisecond),
 			Slots: 128, SimulatedShare: 0.05}
 		if tier < 23 {
 			next := 4 * (tier + 1)
@@ -52,15 +52,15 @@
 	return e
 }
 
-func TestFullSizeForAMoment(t *testing.T) {
+func TestFullSizeForOneSecond(t *testing.T) {
 	if testing.Short() {
 		t.Skip("2,800 hollow sidecars")
 	}
-	e := full()
-	e.Warmup, e.Duration = dur(4*time.Second), dur(time.Second)
-	r := run(t, e)
+	e := fullSizeExperiment()
+	e.Warmup, e.Duration = duration(4*time.Second), duration(time.Second)
+	r := runExperiment(t, e)
 	r.Series, r.Services, r.SimulatedShares = nil, nil, nil
-	show(t, r)
+	logResult(t, r)
 	if r.Sidecars != 2800 {
 		t.Errorf("%d hollow sidecars", r.Sidecars)
 	}
@@ -72,16 +72,16 @@
 // BenchmarkFullSize plays a minute at the whole size, with the loss of a zone and an outage of discovery.
 func BenchmarkFullSize(b *testing.B) {
 	for b.Loop() {
-		e := full()
-		e.Duration = dur(60 * time.Second)
+		e := fullSizeExperiment()
+		e.Duration = duration(60 * time.Second)
 		e.Faults = []experiment.Fault{
-			{Kind: "zone", At: dur(10 * time.Second), Duration: dur(8 * time.Second), Target: "1/1"},
-			{Kind: "down", At: dur(30 * time.Second), Duration: dur(8 * time.Second)},
-			{Kind: "restart", At: dur(42 * time.Second), Duration: dur(10 * time.Second), Count: 280},
+			{Kind: "zone", At: duration(10 * time.Second), Duration: duration(8 * time.Second), Target: "1/1"},
+			{Kind: "down", At: duration(30 * time.Second), Duration: duration(8 * time.Second)},
+			{Kind: "restart", At: duration(42 * time.Second), Duration: duration(10 * time.Second), Count: 280},
 		}
-		r := run(b, e)
+		r := runExperiment(b, e)
 		r.Series, r.Services, r.SimulatedShares = nil, nil, nil
-		show(b, r)
+		logResult(b, r)
 		b.ReportMetric(r.PeakHeapMB, "heap-MB")
 		b.ReportMetric(r.HeapPerSidecarKB, "KB/sidecar")
 		b.ReportMetric(r.Control.ModuleMicrosPerCall, "module-µs/call")
--- a/internal/fleet/measure.go
+++ b/internal/fleet/measure.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	longestTime  = int64(10 * time.Minute / time.Microsecond) // that a histogram holds; longer ones count as this
-	digits       = 2                                          // that histograms keep
-	sampleEvery  = 16                                         // of the module's events that are no lists, one is timed
-	beforeFault  = 10                                         // seconds that tell how calls were served before a fault
-	asBeforeLess = 0.01                                       // part of calls that may be missing then
+	maxLatencyMicros    = int64(10 * time.Minute / time.Microsecond) // that a histogram holds; longer ones count as this
+	histogramDigits     = 2                                          // that histograms keep
+	meterSampleInterval = 16                                         // of the module's events that are no lists, one is timed
+	baselineSeconds     = 10                                         // seconds that tell how calls were served before a fault
+	recoveryTolerance   = 0.01                                       // part of calls that may be missing then
 )
 
 // callStats are those of one scope.
@@ -26,12 +26,12 @@
 }
 
 func (c *callStats) init() {
-	c.latency = hdrhistogram.New(1, longestTime, digits)
-	c.added = hdrhistogram.New(1, longestTime, digits)
+	c.latency = hdrhistogram.New(1, maxLatencyMicros, histogramDigits)
+	c.added = hdrhistogram.New(1, maxLatencyMicros, histogramDigits)
 }
 
-func record(h *hdrhistogram.Histogram, ns int64) {
-	_ = h.RecordValue(min(max(ns/1000, 0), longestTime)) // only values outside its range are refused
+func recordDuration(h *hdrhistogram.Histogram, ns int64) {
+	_ = h.RecordValue(min(max(ns/1000, 0), maxLatencyMicros)) // only values outside its range are refused
 }
 
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
@@ -48,37 +48,37 @@
 }
 
 // measured tells whether a time is in the measured part of the run.
-func (f *fleet) measured(at int64) bool { return at >= f.from && at < f.end }
+func (f *fleet) inMeasuredTime(at int64) bool { return at >= f.measureFrom && at < f.measureEnd }
 
 // second is the one that a time belongs to.
-func (f *fleet) second(at int64) *experiment.Second { return &f.seconds[(at-f.from)/1e9] }
+func (f *fleet) secondAt(at int64) *experiment.Second { return &f.seconds[(at-f.measureFrom)/1e9] }
 
 // asked counts a call that a sidecar took. A call counts for the second in which it came.
-func (f *fleet) asked(c *call) {
-	f.meter.taken++
+func (f *fleet) countOffered(c *call) {
+	f.meter.calls++
 	if !c.measured {
 		return
 	}
 	f.services[f.tiers[c.tier].service].stats.Offered++
 	if c.parent < 0 {
-		f.total.Offered++
-		f.second(c.arrived).Offered++
+		f.totals.Offered++
+		f.secondAt(c.arrivedAt).Offered++
 	}
 }
 
-func (f *fleet) ended(c *call, s status) {
+func (f *fleet) countEnd(c *call, s status) {
 	if !c.measured {
 		return
 	}
 	stats := &f.services[f.tiers[c.tier].service].stats
-	f.count(stats, c, s)
+	f.countEndIn(stats, c, s)
 	if c.parent >= 0 {
 		return
 	}
-	f.count(&f.total, c, s)
-	second := f.second(c.arrived)
+	f.countEndIn(&f.totals, c, s)
+	second := f.secondAt(c.arrivedAt)
 	switch {
-	case f.now > c.due:
+	case f.now > c.clientDeadline:
 		second.Late++
 	case s == served:
 		second.Served++
@@ -90,9 +90,9 @@
 }
 
 // count puts a call's end into a scope: any end after its client gave up is late.
-func (f *fleet) count(stats *callStats, c *call, s status) {
+func (f *fleet) countEndIn(stats *callStats, c *call, s status) {
 	switch {
-	case f.now > c.due:
+	case f.now > c.clientDeadline:
 		stats.Late++
 	case s == refused:
 		stats.Refused++
@@ -100,169 +100,169 @@
 		stats.Failed++
 	default:
 		stats.Served++
-		if f.now-c.arrived <= int64(f.exp.Classes[c.class].TargetLatency) {
+		if f.now-c.arrivedAt <= int64(f.exp.Classes[c.class].TargetLatency) {
 			stats.InTime++
 		}
-		record(stats.latency, f.now-c.arrived)
-		record(stats.added, c.wait)
+		recordDuration(stats.latency, f.now-c.arrivedAt)
+		recordDuration(stats.added, c.waitTime)
 	}
 }
 
 // unanswered is a client's call that finds no sidecar.
-func (f *fleet) unanswered(service int32) {
-	if !f.measured(f.now) {
+func (f *fleet) countNoSidecar(service int32) {
+	if !f.inMeasuredTime(f.now) {
 		return
 	}
-	for _, stats := range [...]*callStats{&f.total, &f.services[service].stats} {
+	for _, stats := range [...]*callStats{&f.totals, &f.services[service].stats} {
 		stats.Offered++
 		stats.Failed++
 	}
-	f.second(f.now).Offered++
-	f.second(f.now).Failed++
+	f.secondAt(f.now).Offered++
+	f.secondAt(f.now).Failed++
 }
 
-func (f *fleet) sent(s *service, fresh bool) {
-	if !f.measured(f.now) {
+func (f *fleet) countAttempt(s *service, newConnection bool) {
+	if !f.inMeasuredTime(f.now) {
 		return
 	}
 	s.stats.Attempts++
-	f.total.Attempts++
-	if fresh {
+	f.totals.Attempts++
+	if newConnection {
 		s.stats.Connections++
-		f.total.Connections++
-		f.second(f.now).Connections++
+		f.totals.Connections++
+		f.secondAt(f.now).Connections++
 	}
 }
 
 // control counts the traffic for control, in the measured time.
 type control struct {
-	refusals      int64
-	busyFor       int64
-	peakQueue     int
-	out, discoOut int64 // bytes at sidecars and at discovery
-	spreads       *hdrhistogram.Histogram
+	refusedCalls                 int64
+	busyTime                     int64
+	peakQueue                    int
+	sidecarBytes, discoveryBytes int64 // bytes at sidecars and at discovery
+	propagation                  *hdrhistogram.Histogram
 }
 
-func (c *control) init() { c.spreads = hdrhistogram.New(1, longestTime, digits) }
+func (c *control) init() { c.propagation = hdrhistogram.New(1, maxLatencyMicros, histogramDigits) }
 
-func (c *control) called(f *fleet) {
-	if f.measured(f.now) {
-		f.second(f.now).ListCalls++
+func (c *control) countListCall(f *fleet) {
+	if f.inMeasuredTime(f.now) {
+		f.secondAt(f.now).ListCalls++
 	}
 }
 
-func (c *control) refused(f *fleet) {
-	if f.measured(f.now) {
-		c.refusals++
+func (c *control) countRefusal(f *fleet) {
+	if f.inMeasuredTime(f.now) {
+		c.refusedCalls++
 	}
 }
 
-func (c *control) changed(f *fleet) {
-	if f.measured(f.now) {
-		f.second(f.now).Changes++
+func (c *control) countChange(f *fleet) {
+	if f.inMeasuredTime(f.now) {
+		f.secondAt(f.now).Changes++
 	}
 }
 
-func (c *control) queued(f *fleet, n int) {
-	if f.measured(f.now) {
+func (c *control) recordQueue(f *fleet, n int) {
+	if f.inMeasuredTime(f.now) {
 		c.peakQueue = max(c.peakQueue, n)
 	}
 }
 
-func (c *control) busy(f *fleet, ns int64) {
-	if f.measured(f.now) {
-		c.busyFor += ns
+func (c *control) addBusyTime(f *fleet, ns int64) {
+	if f.inMeasuredTime(f.now) {
+		c.busyTime += ns
 	}
 }
 
-func (c *control) sidecar(f *fleet, n int) {
-	if f.measured(f.now) {
-		c.out += int64(n)
+func (c *control) addSidecarBytes(f *fleet, n int) {
+	if f.inMeasuredTime(f.now) {
+		c.sidecarBytes += int64(n)
 	}
 }
 
-func (c *control) bytes(f *fleet, n int) {
-	if f.measured(f.now) {
-		c.discoOut += int64(n)
+func (c *control) addDiscoveryBytes(f *fleet, n int) {
+	if f.inMeasuredTime(f.now) {
+		c.discoveryBytes += int64(n)
 	}
 }
 
-func (c *control) both(f *fleet, n int) {
-	c.sidecar(f, n)
-	c.bytes(f, n)
+func (c *control) addBytes(f *fleet, n int) {
+	c.addSidecarBytes(f, n)
+	c.addDiscoveryBytes(f, n)
 }
 
-func (c *control) spread(f *fleet, ch *change) {
-	if f.measured(ch.made) {
-		record(c.spreads, f.now-ch.made)
+func (c *control) recordPropagation(f *fleet, ch *change) {
+	if f.inMeasuredTime(ch.madeAt) {
+		recordDuration(c.propagation, f.now-ch.madeAt)
 	}
 }
 
 // meter takes the module's processor time, by the clock on the wall: what else the machine does then counts as well.
 type meter struct {
 	events, timed, lists int64
-	spent, listSpent     time.Duration
-	taken                int64
-	began                time.Time
+	eventTime, listTime  time.Duration
+	calls                int64
+	startedAt            time.Time
 }
 
-func (m *meter) begin(list bool) {
+func (m *meter) start(list bool) {
 	if !list {
 		m.events++
 	}
-	if list || m.events%sampleEvery == 0 {
-		m.began = time.Now()
+	if list || m.events%meterSampleInterval == 0 {
+		m.startedAt = time.Now()
 	}
 }
 
-func (m *meter) end(list bool) {
+func (m *meter) stop(list bool) {
 	if list {
 		m.lists++
-		m.listSpent += time.Since(m.began)
-	} else if m.events%sampleEvery == 0 {
+		m.listTime += time.Since(m.startedAt)
+	} else if m.events%meterSampleInterval == 0 {
 		m.timed++
-		m.spent += time.Since(m.began)
+		m.eventTime += time.Since(m.startedAt)
 	}
 }
 
 // heap is what the process has in use, without a stop of the program.
-func heap() int64 {
+func heapInUse() int64 {
 	sample := [1]metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample[:])
 	return int64(sample[0].Value.Uint64())
 }
 
 // heapLive is what it has in use after a collection.
-func heapLive() int64 {
+func liveHeap() int64 {
 	runtime.GC()
-	return heap()
+	return heapInUse()
 }
 
-func (f *fleet) result(began time.Time) *experiment.Result {
-	e, virtual := f.exp, float64(f.end-f.from)/1e9
+func (f *fleet) result(started time.Time) *experiment.Result {
+	e, virtual := f.exp, float64(f.measureEnd-f.measureFrom)/1e9
 	r := &experiment.Result{
-		Name: e.Name, Seed: e.Seed, Version: version(), VirtualSeconds: virtual, RealSeconds: time.Since(began).Seconds(),
-		PeakHeapMB: float64(f.heapMost) / (1 << 20), Sidecars: len(f.processes),
-		HeapPerSidecarKB: float64(f.heapBuilt) / 1024 / float64(max(len(f.processes), 1)), SimulatedShares: map[string]float64{},
-		Calls: f.total.result(), Series: f.seconds, Violations: f.rules,
+		Name: e.Name, Seed: e.Seed, Version: version(), VirtualSeconds: virtual, RealSeconds: time.Since(started).Seconds(),
+		PeakHeapMB: float64(f.peakHeap) / (1 << 20), Sidecars: len(f.sidecars),
+		HeapPerSidecarKB: float64(f.initialHeap) / 1024 / float64(max(len(f.sidecars), 1)), SimulatedShares: map[string]float64{},
+		Calls: f.totals.result(), Series: f.seconds, Violations: f.violations,
 	}
 	for i := range f.services {
 		s := &f.services[i]
-		if s.share < 1 {
-			r.SimulatedShares[s.Name] = s.share
+		if s.simulatedShare < 1 {
+			r.SimulatedShares[s.Name] = s.simulatedShare
 		}
-		r.Violations.ColdCrashes += int64(s.falls)
+		r.Violations.ColdCrashes += int64(s.coldCrashes)
 		r.Services = append(r.Services, experiment.ServiceResult{
-			Name: s.Name, Calls: s.stats.result(), ColdCrashes: s.falls, WorstColdRatio: s.worstCold,
+			Name: s.Name, Calls: s.stats.result(), ColdCrashes: s.coldCrashes, WorstColdRatio: s.worstColdRatio,
 		})
-		for k := range s.log {
-			if c := &s.log[k]; f.measured(c.made) && c.pending > 0 {
+		for k := range s.changeLog {
+			if c := &s.changeLog[k]; f.inMeasuredTime(c.madeAt) && c.remaining > 0 {
 				r.Control.UnpropagatedChanges++
 			}
 		}
 	}
 	for i := range f.calls {
-		if c := &f.calls[i]; c.measured && c.place >= 0 && !c.ended && c.tier >= 0 {
+		if c := &f.calls[i]; c.measured && c.openIndex >= 0 && !c.ended && c.tier >= 0 {
 			r.Violations.Unanswered++
 		}
 	}
@@ -271,10 +271,10 @@
 		r.Faults = append(r.Faults, f.faultResult(i))
 		switch f.faults[i].Kind {
 		case "down", "silent", "refusing":
-			if told := r.Faults[i].ResyncMax; told < 0 || r.Control.ResyncMax < 0 {
+			if resync := r.Faults[i].ResyncMax; resync < 0 || r.Control.ResyncMax < 0 {
 				r.Control.ResyncMax = -1
 			} else {
-				r.Control.ResyncMax = max(r.Control.ResyncMax, told)
+				r.Control.ResyncMax = max(r.Control.ResyncMax, resync)
 			}
 		}
 	}
@@ -287,22 +287,22 @@
 		calls += f.seconds[i].ListCalls
 		r.PeakCallsPerSecond = max(r.PeakCallsPerSecond, float64(f.seconds[i].ListCalls))
 	}
-	c, m := &f.control, &f.meter
+	traffic, meter := &f.control, &f.meter
 	r.CallsPerSecond = float64(calls) / virtual
-	r.RefusedCalls, r.PeakQueue = c.refusals, c.peakQueue
-	r.DiscoveryUtilization = float64(c.busyFor) / 1e9 / virtual / float64(len(f.disco.instances))
-	r.SidecarBytesPerSecond = float64(c.out) / virtual / float64(max(len(f.processes), 1))
-	r.DiscoveryBytesPerSecond = float64(c.discoOut) / virtual
-	if m.timed > 0 && m.taken > 0 {
-		each := float64(m.spent.Nanoseconds()) / float64(m.timed) / 1000
-		r.ModuleMicrosPerCall = each * float64(m.events) / float64(m.taken)
+	r.RefusedCalls, r.PeakQueue = traffic.refusedCalls, traffic.peakQueue
+	r.DiscoveryUtilization = float64(traffic.busyTime) / 1e9 / virtual / float64(len(f.discovery.instances))
+	r.SidecarBytesPerSecond = float64(traffic.sidecarBytes) / virtual / float64(max(len(f.sidecars), 1))
+	r.DiscoveryBytesPerSecond = float64(traffic.discoveryBytes) / virtual
+	if meter.timed > 0 && meter.calls > 0 {
+		perEvent := float64(meter.eventTime.Nanoseconds()) / float64(meter.timed) / 1000
+		r.ModuleMicrosPerCall = perEvent * float64(meter.events) / float64(meter.calls)
 	}
-	if m.lists > 0 {
-		r.ModuleMicrosPerList = float64(m.listSpent.Nanoseconds()) / float64(m.lists) / 1000
+	if meter.lists > 0 {
+		r.ModuleMicrosPerList = float64(meter.listTime.Nanoseconds()) / float64(meter.lists) / 1000
 	}
-	if c.spreads.TotalCount() > 0 {
-		r.PropagationP50, r.PropagationP99 = quantile(c.spreads, 50), quantile(c.spreads, 99)
-		r.PropagationMax = float64(c.spreads.Max()) / 1000
+	if traffic.propagation.TotalCount() > 0 {
+		r.PropagationP50, r.PropagationP99 = quantile(traffic.propagation, 50), quantile(traffic.propagation, 99)
+		r.PropagationMax = float64(traffic.propagation.Max()) / 1000
 	}
 }
 
@@ -310,22 +310,22 @@
 // in a hundred more than in the ten seconds before it is not served.
 func (f *fleet) faultResult(i int) experiment.FaultResult {
 	ft := &f.faults[i]
-	r := experiment.FaultResult{Fault: ft.Kind, At: ms(ft.at - f.from), RecoveryTime: -1, ResyncMax: -1}
+	r := experiment.FaultResult{Fault: ft.Kind, At: toMillis(ft.at - f.measureFrom), RecoveryTime: -1, ResyncMax: -1}
 	if ft.Target != "" {
 		r.Fault += " " + ft.Target
 	}
-	first, asked, good := int((ft.at-f.from)/1e9), 0.0, 0.0
-	for k := max(first-beforeFault, 0); k < min(first, len(f.seconds)); k++ {
-		asked += float64(f.seconds[k].Offered)
-		good += float64(f.seconds[k].Served)
+	first, offered, served := int((ft.at-f.measureFrom)/1e9), 0.0, 0.0
+	for k := max(first-baselineSeconds, 0); k < min(first, len(f.seconds)); k++ {
+		offered += float64(f.seconds[k].Offered)
+		served += float64(f.seconds[k].Served)
 	}
 	share := 1.0
-	if asked > 0 {
-		share = good / asked
+	if offered > 0 {
+		share = served / offered
 	}
-	end, last := float64(ft.until-f.from)/1e9, len(f.seconds)
+	end, last := float64(ft.endAt-f.measureFrom)/1e9, len(f.seconds)
 	for k := int(math.Ceil(end)); k < len(f.seconds); k++ {
-		if s := &f.seconds[k]; float64(s.Served) >= (share-asBeforeLess)*float64(s.Offered) {
+		if s := &f.seconds[k]; float64(s.Served) >= (share-recoveryTolerance)*float64(s.Offered) {
 			r.RecoveryTime, last = 1000*(float64(k)-end), k
 			break
 		}
@@ -334,16 +334,16 @@
 		s := &f.seconds[k]
 		r.LostCalls += s.Refused + s.Failed + s.Late
 	}
-	told := len(f.seconds) // a second in which all have been answered
-	for k := range f.ends {
-		if e := &f.ends[k]; int(e.fault) == i {
-			if e.pending == 0 {
-				r.ResyncMax = ms(e.told)
-				told = int(math.Ceil(end + float64(e.told)/1e9))
+	resyncSecond := len(f.seconds) // a second in which all have been answered
+	for k := range f.faultEnds {
+		if e := &f.faultEnds[k]; int(e.fault) == i {
+			if e.remaining == 0 {
+				r.ResyncMax = toMillis(e.resyncTime)
+				resyncSecond = int(math.Ceil(end + float64(e.resyncTime)/1e9))
 			}
 		}
 	}
-	for k := first; k < min(max(last, told), len(f.seconds)); k++ {
+	for k := first; k < min(max(last, resyncSecond), len(f.seconds)); k++ {
 		r.ListCalls += f.seconds[k].ListCalls
 	}
 	return r
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -6,10 +6,10 @@
 	"forkline/internal/experiment"
 )
 
-const jitter = 0.1 // of each message's delay, either way
+const jitterShare = 0.1 // of each message's delay, either way
 
 // place is where a machine stands. Zones are numbered over all regions, racks within their zone.
-type place struct {
+type location struct {
 	region, zone uint8
 	rack         uint16
 }
@@ -17,17 +17,17 @@
 // network delays messages, loses some (the transport sends them again) and is split by faults.
 type network struct {
 	experiment.Network
-	split []int // by region: faults that cut it off now
+	splits []int // by region: faults that cut it off now
 }
 
 // reaches tells whether a message gets from one region to another. One sent while they are split is lost for good, as
 // no transport sends again for as long as a split lasts.
 func (n *network) reaches(from, to uint8) bool {
-	return from == to || n.split[from] == 0 && n.split[to] == 0
+	return from == to || n.splits[from] == 0 && n.splits[to] == 0
 }
 
 // delay is the time that a message takes.
-func (n *network) delay(from, to place, r *source) int64 {
+func (n *network) delay(from, to location, r *randSource) int64 {
 	d := time.Duration(n.BetweenRegions)
 	switch {
 	case from.zone == to.zone:
@@ -35,8 +35,8 @@
 	case from.region == to.region:
 		d = time.Duration(n.SameRegion)
 	}
-	at := int64(float64(d) * (1 + jitter*(2*r.float()-1)))
-	for n.LossRate > 0 && r.float() < n.LossRate {
+	at := int64(float64(d) * (1 + jitterShare*(2*r.uniform()-1)))
+	for n.LossRate > 0 && r.uniform() < n.LossRate {
 		at += int64(n.RetransmitDelay)
 	}
 	return at
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -43,9 +43,9 @@
 )
 
 const (
-	lookEvery  = 4096        // events between looks at the real time
-	stuckAfter = 1 << 24     // events at one instant: far more than calls that are open
-	settleTime = time.Second // after the last call's time, in which the rest is answered
+	checkInterval      = 4096        // events between looks at the real time
+	stallCheckInterval = 1 << 24     // events at one instant: far more than calls that are open
+	settleTime         = time.Second // after the last call's time, in which the rest is answered
 )
 
 // fleet is one run.
@@ -53,125 +53,125 @@
 	clock
 	exp       *experiment.Experiment
 	classes   []forkline.Class
-	shares    float64 // sum of the classes'
+	shareSum  float64 // sum of the classes'
 	services  []service
 	endpoints []endpoint
-	processes []process
+	sidecars  []sidecar
 	tiers     []tier
 	net       network
 	racks     []int // by zone
 	zoneFrom  []int // first zone of each region
-	disco     discovery
+	discovery discovery
 	faults    []fault
-	ends      []faultEnd
+	faultEnds []faultEnd
 
-	splitUntil   []int64 // by region: when the last split ended
-	calls        []call
-	freeCalls    []int32
-	dropped      []int32 // forgotten during this event
-	attempts     []attempt
-	freeAttempts []int32
-	event        forkline.Event // handed to modules, used again
-	actions      []forkline.Action
-	watchActs    []listwatch.Action
+	splitEndedAt  []int64 // by region: when the last split ended
+	calls         []call
+	freeCalls     []int32
+	releasedCalls []int32 // forgotten during this event
+	attempts      []attempt
+	freeAttempts  []int32
+	event         forkline.Event // handed to modules, used again
+	actions       []forkline.Action
+	watchActions  []listwatch.Action
 
-	from, end, stop     int64 // measured time, and when the run ends
-	total               callStats
-	seconds             []experiment.Second
-	control             control
-	meter               meter
-	rules               experiment.Violations
-	heapMost, heapBuilt int64
-	err                 error
+	measureFrom, measureEnd, runEnd int64 // measured time, and when the run ends
+	totals                          callStats
+	seconds                         []experiment.Second
+	control                         control
+	meter                           meter
+	violations                      experiment.Violations
+	peakHeap, initialHeap           int64
+	err                             error
 }
 
 // Run plays an experiment. It ends soon after ctx does, with ctx's error.
 func Run(ctx context.Context, e *experiment.Experiment, progress experiment.Progress) (*experiment.Result, error) {
-	began, before := time.Now(), heapLive()
+	started, heapBefore := time.Now(), liveHeap()
 	f, err := newFleet(e)
 	if err != nil {
 		return nil, err
 	}
-	f.heapMost = heap()
-	f.heapBuilt = heapLive() - before
-	if err := f.play(ctx, progress); err != nil {
+	f.peakHeap = heapInUse()
+	f.initialHeap = liveHeap() - heapBefore
+	if err := f.runEvents(ctx, progress); err != nil {
 		return nil, err
 	}
-	return f.result(began), nil
+	return f.result(started), nil
 }
 
 func newFleet(e *experiment.Experiment) (*fleet, error) {
-	f := &fleet{exp: e, shares: sumShares(e.Classes)}
+	f := &fleet{exp: e, shareSum: sumShares(e.Classes)}
 	var err error
 	if f.classes, err = moduleClasses(e.Classes); err != nil {
 		return nil, err
 	}
-	if f.services, err = plan(e); err != nil {
+	if f.services, err = planServices(e); err != nil {
 		return nil, err
 	}
 	if e.Duration <= 0 || e.Warmup < 0 {
-		return nil, fmt.Errorf("%w: its duration is %v after %v", errShape, time.Duration(e.Duration),
+		return nil, fmt.Errorf("%w: its duration is %v after %v", errInvalid, time.Duration(e.Duration),
 			time.Duration(e.Warmup))
 	}
-	longest := time.Duration(0)
+	maxTimeout := time.Duration(0)
 	for _, c := range e.Classes {
-		longest = max(longest, time.Duration(c.Timeout))
+		maxTimeout = max(maxTimeout, time.Duration(c.Timeout))
 	}
-	f.from = int64(e.Warmup)
-	f.end = f.from + int64(e.Duration)
-	f.stop = f.end + ns(longest+settleTime)
+	f.measureFrom = int64(e.Warmup)
+	f.measureEnd = f.measureFrom + int64(e.Duration)
+	f.runEnd = f.measureEnd + toNanos(maxTimeout+settleTime)
 	f.seconds = make([]experiment.Second, (int64(e.Duration)+1e9-1)/1e9)
 	for i := range f.seconds {
 		f.seconds[i].At = float64(i)
 	}
-	f.splitUntil = make([]int64, len(e.Regions))
-	f.total.init()
+	f.splitEndedAt = make([]int64, len(e.Regions))
+	f.totals.init()
 	f.control.init()
-	if err := f.build(); err != nil {
+	if err := f.buildTopology(); err != nil {
 		return nil, err
 	}
 	if err := f.buildFaults(); err != nil {
 		return nil, err
 	}
-	for i := range f.processes {
-		f.startProcess(int32(i))
+	for i := range f.sidecars {
+		f.startSidecar(int32(i))
 	}
 	for i := range f.services {
-		f.schedule(int32(i))
+		f.scheduleClientCall(int32(i))
 	}
 	return f, f.err
 }
 
 // play runs the events up to the end, or until ctx ends.
-func (f *fleet) play(ctx context.Context, progress experiment.Progress) error {
-	told, looked := time.Now(), int64(-1)
-	for n := 1; len(f.heap) > 0 && f.heap[0].at <= f.stop && f.err == nil; n++ {
-		ev := f.next()
-		f.happen(&ev)
-		f.reuse()
-		if n%lookEvery != 0 {
+func (f *fleet) runEvents(ctx context.Context, progress experiment.Progress) error {
+	lastProgress, lastCheck := time.Now(), int64(-1)
+	for n := 1; len(f.heap) > 0 && f.heap[0].at <= f.runEnd && f.err == nil; n++ {
+		ev := f.pop()
+		f.dispatch(&ev)
+		f.recycleCalls()
+		if n%checkInterval != 0 {
 			continue
 		}
 		if err := ctx.Err(); err != nil {
 			return err
 		}
-		if n%stuckAfter == 0 {
-			if f.now == looked {
+		if n%stallCheckInterval == 0 {
+			if f.now == lastCheck {
 				return fmt.Errorf("fleet: time stands still at %v", time.Duration(f.now))
 			}
-			looked = f.now
+			lastCheck = f.now
 		}
-		if now := time.Now(); now.Sub(told) >= time.Second {
-			told = now
-			f.heapMost = max(f.heapMost, heap())
+		if now := time.Now(); now.Sub(lastProgress) >= time.Second {
+			lastProgress = now
+			f.peakHeap = max(f.peakHeap, heapInUse())
 			if progress != nil {
-				progress(time.Duration(f.now), time.Duration(f.stop))
+				progress(time.Duration(f.now), time.Duration(f.runEnd))
 			}
 		}
 	}
-	f.heapMost = max(f.heapMost, heap())
-	if len(f.calls) > mostOpen {
-		return fmt.Errorf("fleet: over %d calls were open at once", mostOpen)
+	f.peakHeap = max(f.peakHeap, heapInUse())
+	if len(f.calls) > maxOpenCalls {
+		return fmt.Errorf("fleet: over %d calls were open at once", maxOpenCalls)
 	}
 	if f.err != nil {
 		return f.err
@@ -179,95 +179,95 @@
 	return ctx.Err()
 }
 
-func (f *fleet) happen(ev *event) {
-	switch ev.kind {
-	case evArrive:
-		f.arrive(ev)
-	case evTimer:
+func (f *fleet) dispatch(ev *event) {
+	switch ev.eventKind {
+	case evClientCall:
+		f.clientCall(ev)
+	case evModuleTimer:
 		if tr := &f.tiers[ev.id]; tr.gen == ev.gen {
-			f.processes[tr.process].margin.Observe(deadline.Timer, ms(f.now), ms(timerSlack))
+			f.sidecars[tr.sidecar].margin.Observe(deadline.Timer, toMillis(f.now), toMillis(timerDelay))
 			f.event = forkline.Event{Kind: forkline.EvTimer, Token: ev.arg}
-			f.handle(ev.id, &f.event)
+			f.handleModuleEvent(ev.id, &f.event)
 		}
-	case evTick:
-		f.tick(ev)
-	case evReach:
-		f.reach(ev)
-	case evWork:
-		f.worked(ev)
-	case evStep:
-		f.stepped(ev)
-	case evAnswer:
-		f.answered(ev)
-	case evExpire:
-		f.expire(ev)
-	case evStop:
-		f.stopWork(ev)
+	case evWatchTick:
+		f.watchTick(ev)
+	case evAttemptArrives:
+		f.attemptArrives(ev)
+	case evWorkDone:
+		f.workDone(ev)
+	case evInnerCallEnds:
+		f.innerCallEnds(ev)
+	case evOutcomeArrives:
+		f.outcomeArrives(ev)
+	case evAttemptTimeout:
+		f.attemptTimeout(ev)
+	case evCancelArrives:
+		f.cancelArrives(ev)
 	case evBackstop:
-		f.backstop(ev)
-	case evAsk:
-		f.askedFor(ev)
-	case evTurn:
-		f.turn(ev)
-	case evTold:
-		f.told(ev)
-	case evDelta:
-		f.delta(ev)
-	case evListEnded:
-		f.listEnded(ev)
-	case evBeat:
-		f.beats(ev.id)
-	case evLearn:
-		f.learn(ev)
-	case evFault:
+		f.backstopDue(ev)
+	case evListCallArrives:
+		f.listCallArrives(ev)
+	case evListCallServed:
+		f.serveListCall(ev)
+	case evListArrives:
+		f.listArrives(ev)
+	case evChangeArrives:
+		f.changeArrives(ev)
+	case evListCallEnds:
+		f.listCallEnds(ev)
+	case evHeartbeat:
+		f.sendHeartbeats(ev.id)
+	case evDiscoveryLearns:
+		f.learnChange(ev)
+	case evFaultBegins:
 		f.beginFault(ev.id)
-	case evFaultEnd:
+	case evFaultEnds:
 		f.endFault(ev.id)
-	case evDrain:
-		f.drain(ev)
-	case evKill:
-		f.kill(ev)
-	case evStart:
+	case evDrainBegins:
+		f.beginDrain(ev)
+	case evDrainEnds:
+		f.endDrain(ev)
+	case evSuccessorStarts:
 		if f.endpoints[ev.id].gen == ev.gen {
-			f.comeUp(ev.id)
+			f.bringUp(ev.id)
 		}
-	case evChange:
-		f.configure(ev.id)
+	case evConfigChange:
+		f.changeConfig(ev.id)
 	}
 }
 
 // What a module holds, in bytes: see TestEstimate.
 const (
-	perServer  = 900  // each endpoint that it knows
-	perTier    = 6000 // besides
-	perService = 80000
-	perCall    = 600 // open, with its attempts and events
-	perRecent  = 16  // taken in the module's windows
+	bytesPerServer     = 900  // each endpoint that it knows
+	bytesPerTier       = 6000 // besides
+	bytesPerService    = 80000
+	bytesPerCall       = 600 // open, with its attempts and events
+	bytesPerRecentCall = 16  // taken in the module's windows
 )
 
 // Estimate is how much memory a run needs, in bytes; 0 if the experiment cannot be played.
 func Estimate(e *experiment.Experiment) (bytes int64) {
-	services, err := plan(e)
+	services, err := planServices(e)
 	if err != nil {
 		return 0
 	}
-	longest := 0.0
+	maxTimeout := 0.0
 	for _, c := range e.Classes {
-		longest = max(longest, seconds(c.Timeout))
+		maxTimeout = max(maxTimeout, seconds(c.Timeout))
 	}
 	for i := range services {
 		s := &services[i]
-		bytes += perService + int64(s.Endpoints)*int64(unsafe.Sizeof(endpoint{})+200)
-		for _, to := range s.inner {
-			bytes += int64(s.Endpoints) * (perTier + perServer*int64(services[to].Endpoints))
+		bytes += bytesPerService + int64(s.Endpoints)*int64(unsafe.Sizeof(endpoint{})+200)
+		for _, to := range s.callees {
+			bytes += int64(s.Endpoints) * (bytesPerTier + bytesPerServer*int64(services[to].Endpoints))
 		}
-		bytes += int64(s.FrontSidecars) * (perTier + perServer*int64(s.Endpoints))
-		played := s.trueRate * s.share
-		bytes += int64(played * (longest*perCall + 10*perRecent))
+		bytes += int64(s.FrontSidecars) * (bytesPerTier + bytesPerServer*int64(s.Endpoints))
+		simulatedRate := s.totalRate * s.simulatedShare
+		bytes += int64(simulatedRate * (maxTimeout*bytesPerCall + 10*bytesPerRecentCall))
 	}
 	bytes += int64(seconds(e.Duration)) * int64(unsafe.Sizeof(experiment.Second{}))
-	for _, ft := range e.Faults { // each change stays in its list; a replacement is three of them
-		bytes += int64(ft.Count) * int64(unsafe.Sizeof(change{})+unsafe.Sizeof(learning{})) * int64(max(len(services), 3))
+	for _, fault := range e.Faults { // each change stays in its list; a replacement is three of them
+		bytes += int64(fault.Count) * int64(unsafe.Sizeof(change{})+unsafe.Sizeof(pendingChange{})) * int64(max(len(services), 3))
 	}
 	return bytes * 2 // what the collector has not taken back yet
 }
