--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -6,11 +6,11 @@
 	"forkline/internal/experiment"
 )
 
-// frontNotices is how long clients are still led to a front sidecar that is down.
+// frontFailureDelay is the time for which clients are still routed to a front sidecar that has gone down.
 const frontFailureDelay = 2 * time.Second
 
-// schedule draws when the next client of a service calls. Clients are many: they call at random, whether or not they are
-// served, and do not come again.
+// scheduleClientCall draws the time of the next client call of a service. Clients are an open population: they call at
+// random times whether or not earlier calls are served, and do not retry.
 func (f *fleet) scheduleClientCall(id int32) {
 	s := &f.services[id]
 	perSecond := s.ClientRate * s.SimulatedShare * s.rateFactor
@@ -20,7 +20,7 @@
 	f.schedule(f.now+int64(s.clientRand.exp()/perSecond*1e9), evClientCall, id, s.arrivalGen, 0)
 }
 
-// arrive is a client's call, at one of the front sidecars of its service.
+// clientCall starts the call of a client at one of the front sidecars of its service.
 func (f *fleet) clientCall(ev *event) {
 	s := &f.services[ev.id]
 	if ev.gen != s.arrivalGen || f.now >= f.measureEnd {
@@ -36,19 +36,19 @@
 	}
 	first := s.clientRand.intn(len(s.frontSidecars))
 	for i := range s.frontSidecars {
-		p := &f.sidecars[s.frontSidecars[(first+i)%len(s.frontSidecars)]]
-		if p.up {
-			f.startCall(p.firstTier, class, f.now+int64(f.exp.Classes[class].Timeout), -1)
+		sc := &f.sidecars[s.frontSidecars[(first+i)%len(s.frontSidecars)]]
+		if sc.up {
+			f.startCall(sc.firstTier, class, f.now+int64(f.exp.Classes[class].Timeout), -1)
 			return
 		}
-		if f.now < p.downAt+toNanos(frontFailureDelay) {
+		if f.now < sc.downAt+toNanos(frontFailureDelay) {
 			break
 		}
 	}
 	f.countNoSidecar(ev.id)
 }
 
-// quicken changes the rate of a service's clients; what they would have done is drawn anew.
+// scaleClientRate multiplies the rate of a service's client calls and draws the time of the next one again.
 func (f *fleet) scaleClientRate(id int32, factor float64) {
 	s := &f.services[id]
 	s.rateFactor *= factor
--- a/internal/fleet/clock.go
+++ b/internal/fleet/clock.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// kind tells what an event does; id names the actor and arg is its own.
+// eventKind identifies what happens in an event. The comments below state what the fields id and arg of the event refer to:
+// "tier, arg" means that id is a tier and arg depends on the kind.
 type eventKind uint8
 
 const (
-	evClientCall      eventKind = iota + 1 // service: a client calls
-	evModuleTimer                          // tier, arg: a timer of the module is due
-	evWatchTick                            // tier: the discovery policy wants to hear the time
-	evAttemptArrives                       // attempt: it reaches its endpoint
-	evWorkDone                             // endpoint: the work on its next request is done
-	evInnerCallEnds                        // attempt, arg: the call that it made has ended so
-	evOutcomeArrives                       // attempt, arg: its outcome reaches its sidecar
-	evAttemptTimeout                       // attempt: nobody waits for it any more
-	evCancelArrives                        // attempt: its endpoint hears that
-	evBackstop                             // call: it must be answered now
-	evListCallArrives                      // tier, arg: its call reaches discovery
-	evListCallServed                       // tier, arg: discovery answers that call
-	evListArrives                          // tier, arg: the first object of a watch arrives
-	evChangeArrives                        // tier, arg: a change arrives on a watch
-	evListCallEnds                         // tier, arg: a call failed or its watch broke
-	evHeartbeat                            // discovery instance: a sign of life on each watch
+	evClientCall      eventKind = iota + 1 // service: a client makes a call
+	evModuleTimer                          // tier, arg: a timer of the module fires
+	evWatchTick                            // tier, arg: a timer of the discovery policy fires
+	evAttemptArrives                       // attempt: it arrives at its endpoint
+	evWorkDone                             // endpoint, arg: the work on its next request is done
+	evInnerCallEnds                        // attempt, arg: the inner call that it waits for ends with status arg
+	evOutcomeArrives                       // attempt, arg: outcome arg arrives at its sidecar
+	evAttemptTimeout                       // attempt: its deadline passes
+	evCancelArrives                        // attempt: its cancellation arrives at its endpoint
+	evBackstop                             // call: the sidecar must answer it if the module has not
+	evListCallArrives                      // tier, arg: its list call arg arrives at discovery
+	evListCallServed                       // tier, arg: discovery answers list call arg
+	evListArrives                          // tier, arg: the first object of a watch arrives at the sidecar
+	evChangeArrives                        // tier, arg: a change arrives on a watch at the sidecar
+	evListCallEnds                         // tier, arg: list call arg fails or its watch breaks
+	evHeartbeat                            // discovery instance: it sends a heartbeat on each watch
 	evDiscoveryLearns                      // arg: discovery learns of a change
-	evFaultBegins                          // fault: it begins
+	evFaultBegins                          // fault: it starts
 	evFaultEnds                            // fault: it ends
-	evDrainBegins                          // endpoint: it is to be replaced
-	evDrainEnds                            // endpoint: its process ends
+	evDrainBegins                          // endpoint: it begins to drain before its replacement
+	evDrainEnds                            // endpoint: its drain ends and its process exits
 	evSuccessorStarts                      // endpoint: its successor starts
-	evConfigChange                         // fault: a change of configuration
+	evConfigChange                         // fault: one of its configuration changes is made
 )
 
-// event is one thing that happens at a time. Those of one instant happen in the order in which they were put in.
+// event is one event of the simulation. Events at the same time are handled in the order in which they were scheduled.
 type event struct {
-	at  int64 // virtual ns
+	at  int64 // virtual time in ns
 	seq uint64
 	arg uint64
 	id  int32
-	gen uint16 // of the actor: an event for one that is gone is dropped
+	gen uint16 // generation of the actor; an event for an earlier generation is dropped
 	eventKind
 }
 
 func (e *event) less(o *event) bool { return e.at < o.at || e.at == o.at && e.seq < o.seq }
 
-// clock is virtual time: a heap of events, four to a node.
+// clock is the virtual time with a 4-ary heap of pending events.
 type clock struct {
 	now  int64
 	seq  uint64
@@ -71,7 +72,7 @@
 	h[i] = e
 }
 
-// next takes the first event out and moves the time on to it.
+// pop removes the first event and advances the time to it.
 func (c *clock) pop() event {
 	h := c.heap
 	first, last := h[0], h[len(h)-1]
@@ -102,15 +103,16 @@
 	return first
 }
 
-// ms is the module's clock.
+// toMillis converts virtual time to the clock of the module, which is in ms.
 func toMillis(ns int64) float64 { return float64(ns) / 1e6 }
 
 func toNanos(d time.Duration) int64 { return int64(d) }
 
-// source is one actor's random numbers: what one actor draws does not shift what others do.
+// randSource is the random number generator of one actor. Each actor has its own, so that the numbers that one draws do not
+// change those of the others.
 type randSource struct{ rand.PCG }
 
-// Actors of one kind have numbers; the kinds keep their streams apart.
+// Kinds of actors. The kind and the number of an actor select its stream of random numbers.
 const (
 	actorSidecar uint64 = iota + 1
 	actorEndpoint
@@ -123,16 +125,16 @@
 func newRandSource(seed, actor uint64, number int) randSource {
 	var s randSource
 	s.Seed(seed, actor<<40|uint64(number))
-	for range 4 { // the first numbers of like seeds are alike
+	for range 4 { // the first numbers of similar seeds are correlated
 		s.Uint64()
 	}
 	return s
 }
 
-// float is in [0, 1).
+// uniform returns a number in [0, 1).
 func (s *randSource) uniform() float64 { return float64(s.Uint64()>>11) / (1 << 53) }
 
-// exp has the mean 1.
+// exp returns an exponentially distributed number with mean 1.
 func (s *randSource) exp() float64 { return -math.Log(1 - s.uniform()) }
 
 func (s *randSource) intn(n int) int { return int(s.uniform() * float64(n)) }
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	restartDelay    = time.Second     // from the end of an endpoint to its successor's start
-	maxDrainTimeout = 3 * time.Second // longest time given to a request at a planned end
+	restartDelay    = time.Second     // time from the end of an endpoint to the start of its successor
+	maxDrainTimeout = 3 * time.Second // longest time after the drain grace that a request gets to finish
 )
 
-// fault is one of the experiment's, with what it has hit.
+// fault is a fault of the experiment with the endpoints and front sidecars that it took down.
 type fault struct {
 	experiment.Fault
 	randSource
-	service       int // -1 = any or all
+	service       int // -1 for any or all
 	region        int
 	matches       func(location) bool
 	endpoints     []int32
@@ -25,12 +25,12 @@
 	at, endAt     int64
 }
 
-// faultEnd is the end of a fault, and who has not heard of discovery since.
+// faultEnd is the end of a fault with the number of tiers that discovery has not reached since.
 type faultEnd struct {
 	fault      int32
 	remaining  int32
 	endedAt    int64
-	resyncTime int64 // after it the last sidecar had; 0 = not yet
+	resyncTime int64 // time from the end until discovery had reached all tiers; 0 if it has not yet
 }
 
 func (f *fleet) buildFaults() error {
@@ -46,10 +46,10 @@
 			ft.region, err = f.regionNumber(spec.Target)
 		case "down", "silent", "refusing":
 		default:
-			err = fmt.Errorf("%w: its kind is unknown", errInvalid)
+			err = fmt.Errorf("%w: unknown kind", errInvalid)
 		}
 		if err == nil && (spec.At < 0 || spec.Duration < 0 || spec.Count < 0 || spec.Kind == "burst" && !(spec.Factor > 0)) {
-			err = fmt.Errorf("%w: its times, count or factor", errInvalid)
+			err = fmt.Errorf("%w: invalid times, count or factor", errInvalid)
 		}
 		if err != nil {
 			return fmt.Errorf("fault %d, %q: %w", i, spec.Kind, err)
@@ -62,7 +62,7 @@
 	return nil
 }
 
-// pick draws so many endpoints, of a service or of all, that are up.
+// pickEndpoints draws Count endpoints that are up and not draining, of one service or of all.
 func (f *fleet) pickEndpoints(ft *fault) []int32 {
 	var candidates []int32
 	for i := range f.endpoints {
@@ -92,7 +92,7 @@
 			}
 		}
 		for i := range f.sidecars {
-			if p := &f.sidecars[i]; p.endpoint < 0 && ft.matches(p.location) {
+			if sc := &f.sidecars[i]; sc.endpoint < 0 && ft.matches(sc.location) {
 				ft.frontSidecars = append(ft.frontSidecars, int32(i))
 			}
 		}
@@ -131,9 +131,9 @@
 			f.endpoints[e].downFaults--
 			f.bringUp(e)
 		}
-		for _, p := range ft.frontSidecars {
-			if f.sidecars[p].downFaults--; f.sidecars[p].downFaults == 0 {
-				f.startSidecar(p)
+		for _, sc := range ft.frontSidecars {
+			if f.sidecars[sc].downFaults--; f.sidecars[sc].downFaults == 0 {
+				f.startSidecar(sc)
 			}
 		}
 	case "split":
@@ -168,7 +168,7 @@
 	f.faultEnds = append(f.faultEnds, end)
 }
 
-// vanish takes machines away without a word.
+// removeMachines takes the machines of a fault down without closing their connections.
 func (f *fleet) removeMachines(ft *fault) {
 	for _, e := range ft.endpoints {
 		ep := &f.endpoints[e]
@@ -178,13 +178,13 @@
 		}
 		f.takeDown(e, true)
 	}
-	for _, p := range ft.frontSidecars {
-		f.sidecars[p].downFaults++
-		f.stopSidecar(p)
+	for _, sc := range ft.frontSidecars {
+		f.sidecars[sc].downFaults++
+		f.stopSidecar(sc)
 	}
 }
 
-// burst has clients call so many times as often.
+// scaleBurst multiplies the client rates of the fault's services.
 func (f *fleet) scaleBurst(ft *fault, factor float64) {
 	for i := range f.services {
 		if ft.service < 0 || ft.service == i {
@@ -193,7 +193,8 @@
 	}
 }
 
-// drain begins the replacement of an endpoint: it finishes what it has, and a grace is left for those not told yet.
+// beginDrain starts the replacement of an endpoint. It finishes its requests, and has the drain grace for sidecars that have
+// not been notified yet.
 func (f *fleet) beginDrain(ev *event) {
 	e := &f.endpoints[ev.id]
 	if !e.up || e.draining || e.gen != ev.gen {
@@ -220,7 +221,7 @@
 	f.schedule(f.now+toNanos(restartDelay), evSuccessorStarts, ev.id, e.gen, 0)
 }
 
-// configure makes one change of configuration: all modules of the service, or of all services, are told.
+// changeConfig makes one configuration change, which is sent to all modules of the service or of all services.
 func (f *fleet) changeConfig(id int32) {
 	ft := &f.faults[id]
 	for i := range f.services {
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -6,27 +6,27 @@
 	"forkline/internal/experiment"
 )
 
-const jitterShare = 0.1 // of each message's delay, either way
+const jitterShare = 0.1 // maximum deviation of a message's delay, as a share of it
 
-// place is where a machine stands. Zones are numbered over all regions, racks within their zone.
+// location is the location of a machine. Zones are numbered across all regions, racks within their zone.
 type location struct {
 	region, zone uint8
 	rack         uint16
 }
 
-// network delays messages, loses some (the transport sends them again) and is split by faults.
+// network delays messages, loses some, which the transport retransmits, and is partitioned by faults.
 type network struct {
 	experiment.Network
-	splits []int // by region: faults that cut it off now
+	splits []int // number of active faults that cut a region off, by region
 }
 
-// reaches tells whether a message gets from one region to another. One sent while they are split is lost for good, as
-// no transport sends again for as long as a split lasts.
+// reaches reports whether a message gets from one region to another. A message that is sent during a split is lost for good,
+// as no transport retransmits for as long as a split lasts.
 func (n *network) reaches(from, to uint8) bool {
 	return from == to || n.splits[from] == 0 && n.splits[to] == 0
 }
 
-// delay is the time that a message takes.
+// delay draws the one-way delay of a message in ns.
 func (n *network) delay(from, to location, r *randSource) int64 {
 	d := time.Duration(n.BetweenRegions)
 	switch {
