--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -7,73 +7,75 @@
 	"forkline/internal/listwatch"
 )
 
-// Sizes of what goes to and from discovery, in bytes; lists have their entries besides.
+// Sizes of messages to and from discovery in bytes, without the entries of lists.
 const (
-	callBytes         = 180 // a call with its header
+	callBytes         = 180 // a list call with its header
 	refusalBytes      = 120
 	answerHeaderBytes = 160 // header of an answer
-	objectBytes       = 40  // of one object of a watch, without its entries
-	heartbeatBytes    = 6   // an empty line as a chunk
+	objectBytes       = 40  // one object of a watch, without its entries
+	heartbeatBytes    = 6   // an empty line as an HTTP chunk
 	heartbeatInterval = 2 * time.Second
 )
 
-// watch is a tier's watch on its list: the sidecar's discovery policy, and what discovery writes on.
+// watch is a tier's watch on its list, with the state of both ends: the discovery policy of the sidecar, and what discovery
+// writes to. List calls are numbered from 1; an answered call becomes a watch.
 type watch struct {
 	watcher       *listwatch.Watcher
 	startedAt     int64
-	tickAt        int64 // of the pending evTick; 0 = none
-	instance      int32 // of discovery, or of its agents
-	version       int32 // of the list held
-	startVersion  int32 // changes up to here came before the process did
-	needsFullList bool  // the next answer is the whole list
-	faultEndsSeen int32 // ends of faults since which it has heard of discovery
-	watchedCall   int   // discovery writes on this call's watch; 0 = on none
-	lastCallSeen  int   // last call that discovery saw
-	deadUpTo      int   // calls up to this one are dead, and their watches
-	sentVersion   int32 // version written last
-	lastArrival   int64 // when what was written last arrives: later writes come no sooner
+	tickAt        int64 // time of the pending evWatchTick; 0 if there is none
+	instance      int32 // discovery instance that serves the tier
+	version       int32 // version of the tier's list
+	startVersion  int32 // version of the list at discovery when the process started
+	needsFullList bool  // the next answer contains the full list
+	faultEndsSeen int32 // number of fault ends since which discovery has reached the tier
+	watchedCall   int   // call on whose watch discovery writes; 0 if there is none
+	lastCallSeen  int   // last call that arrived at discovery
+	deadUpTo      int   // calls up to this one, and their watches, are dead
+	sentVersion   int32 // last version that discovery wrote
+	lastArrival   int64 // arrival time of the last write; later writes do not arrive earlier
 }
 
-// change is one change of a list that discovery knows.
+// change is one change of a list.
 type change struct {
 	entry     forkline.ServerEntry
 	madeAt    int64
-	remaining int32 // modules that have not heard of it
+	remaining int32 // number of tiers that have not applied it yet
 }
 
-// learning is one that it is to learn of.
+// pendingChange is a change that discovery has not learned of yet.
 type pendingChange struct {
 	service int32
 	region  uint8
-	config  bool // a change of configuration: an entry is told again as it is
+	config  bool // a configuration change, which sends the current entry again
 	change
 }
 
-// discovery is the service that tells the lists. Its instances know the same; one that is cut off knows what it did.
+// discovery is the service that distributes the lists. All its instances know the same changes, except that an instance in a
+// split region keeps the versions from before the split.
 type discovery struct {
 	randSource
 	instances      []instance
 	pendingChanges []pendingChange
-	deferred       []int32 // learned once their region is back
-	downFaults     int     // faults now, by their kinds
+	deferred       []int32 // pending changes that discovery learns once their region is reachable
+	downFaults     int     // number of active faults of kind down; likewise below
 	silentFaults   int
 	refusingFaults int
-	reachableSince int64 // when the last of them ended
+	reachableSince int64 // when the last of these faults ended
 	listBuf        []forkline.ServerEntry
 }
 
-// instance is one of its processes. It handles calls, and writes of changes, in turn.
+// instance is one process of discovery. It handles one call or write of a change at a time.
 type instance struct {
 	location
-	tiers           [][]int32 // by service: the modules that ask here
+	tiers           [][]int32 // tiers that this instance serves, by service
 	allTiers        []int32
 	busyUntil       int64
 	queued          int
-	stalledVersions []int32 // by service: versions as it was cut off; nil = it knows all
+	stalledVersions []int32 // versions when its region was split off, by service; nil if it knows all changes
 }
 
-// buildDiscovery deals the askers out evenly, in the order of their regions, and puts each instance where most of its
-// askers are.
+// buildDiscovery distributes the sidecars evenly over the instances, in the order of their regions, and places each instance
+// beside the middle one of its sidecars.
 func (f *fleet) buildDiscovery() {
 	d := &f.discovery
 	d.randSource = newRandSource(f.exp.Seed, actorDiscovery, 0)
@@ -91,8 +93,8 @@
 		in := &d.instances[i]
 		in.tiers = make([][]int32, len(f.services))
 		assigned := order[i*len(order)/n : (i+1)*len(order)/n]
-		for _, p := range assigned {
-			for t := f.sidecars[p].firstTier; t < f.sidecars[p].endTier; t++ {
+		for _, sc := range assigned {
+			for t := f.sidecars[sc].firstTier; t < f.sidecars[sc].endTier; t++ {
 				s := f.tiers[t].service
 				in.tiers[s] = append(in.tiers[s], t)
 				in.allTiers = append(in.allTiers, t)
@@ -115,17 +117,17 @@
 	return listwatch.PollPolicy
 }
 
-// speaks tells whether discovery answers and writes at all.
+// responds reports whether discovery answers calls and writes to watches.
 func (d *discovery) responds() bool { return d.downFaults == 0 && d.silentFaults == 0 }
 
-// startWatch begins to follow a list, for a process that has just started.
+// startWatch starts the watch of a tier whose process has just started, with the list that the process had before.
 func (f *fleet) startWatch(t int32) {
 	tr := &f.tiers[t]
 	s := &f.services[tr.service]
-	p := &f.sidecars[tr.sidecar]
+	sc := &f.sidecars[tr.sidecar]
 	version := tr.version
 	tr.watch = watch{
-		watcher: listwatch.NewWatcher(f.watchPolicy(), p.uniform), startedAt: f.now, instance: tr.instance, version: version,
+		watcher: listwatch.NewWatcher(f.watchPolicy(), sc.uniform), startedAt: f.now, instance: tr.instance, version: version,
 		startVersion: int32(len(s.changeLog)), needsFullList: true, faultEndsSeen: int32(len(f.faultEnds)),
 	}
 	f.event = forkline.Event{Kind: forkline.EvList, List: forkline.ListCached, Servers: f.listAtVersion(s, version)}
@@ -135,17 +137,17 @@
 	}
 }
 
-// endWatch forgets what a process that ends would have heard.
+// endWatch ends the watch of a tier whose process ends: changes and fault ends no longer wait for the tier.
 func (f *fleet) endWatch(t int32) {
 	tr := &f.tiers[t]
 	version := tr.version
 	f.acknowledgeChanges(tr, int32(len(f.services[tr.service].changeLog)))
-	tr.version = version // what its successor starts with
+	tr.version = version // the version with which its successor starts
 	f.recordContact(t)
 	tr.watchedCall, tr.tickAt = 0, 0
 }
 
-// listAt is the list as it was in a version; the slice is used again.
+// listAtVersion returns the list in a version. The slice is reused.
 func (f *fleet) listAtVersion(s *service, version int32) []forkline.ServerEntry {
 	from, changes := s.currentList, []change(nil)
 	if int(version) < len(s.changeLog) {
@@ -158,7 +160,8 @@
 	return f.discovery.listBuf
 }
 
-// set puts an entry into a list. One that is gone stays in it as such, which the module takes as absent.
+// updateList applies an entry to a list. A removed endpoint stays in the list in state Removed, which the module treats as
+// absent.
 func (f *fleet) updateList(s *service, list []forkline.ServerEntry, e *forkline.ServerEntry) {
 	endpoint, _ := f.findEndpoint(e.Server)
 	if old := &list[endpoint-s.firstEndpoint]; e.State != forkline.Removed || old.Server == e.Server {
@@ -166,21 +169,21 @@
 	}
 }
 
-// ask is the module's wish to have its list watched.
+// requestWatch handles the module's request to watch its list.
 func (f *fleet) requestWatch(t int32) {
 	if !f.pushed() {
 		f.handleWatchEvent(t, listwatch.Event{Kind: listwatch.EvPoll})
 	}
 }
 
-// follow gives the discovery policy an event and carries its actions out.
+// handleWatchEvent passes an event to the discovery policy and carries out its actions.
 func (f *fleet) handleWatchEvent(t int32, ev listwatch.Event) {
 	tr := &f.tiers[t]
 	if tr.balancer == nil {
 		return
 	}
 	actions := f.watchActions
-	f.watchActions = nil // an action may lead back here
+	f.watchActions = nil // an action can lead to a nested call
 	actions = tr.watcher.Handle(time.Duration(f.now), ev, actions[:0])
 	for _, a := range actions {
 		switch a.Kind {
@@ -210,31 +213,33 @@
 	}
 }
 
-// callDiscovery sends a call for the list.
+// callDiscovery sends a list call to discovery.
 func (f *fleet) callDiscovery(t int32, call int) {
 	tr := &f.tiers[t]
-	p, in := &f.sidecars[tr.sidecar], &f.discovery.instances[tr.instance]
+	sc, in := &f.sidecars[tr.sidecar], &f.discovery.instances[tr.instance]
 	if f.pushed() { // the agent is beside the sidecar
 		if f.discovery.responds() && f.discovery.refusingFaults == 0 {
 			f.schedule(f.now, evListCallServed, t, tr.gen, uint64(call))
 		}
 		return
 	}
-	if !f.net.reaches(p.region, in.region) {
+	if !f.net.reaches(sc.region, in.region) {
 		f.schedule(f.now+toNanos(f.watchPolicy().DialTimeout), evListCallEnds, t, tr.gen, uint64(call))
 		return
 	}
-	f.schedule(f.now+(1+handshakeDelays)*f.net.delay(p.location, in.location, &f.discovery.randSource), evListCallArrives, t, tr.gen, uint64(call))
+	f.schedule(f.now+(1+handshakeDelays)*f.net.delay(sc.location, in.location, &f.discovery.randSource), evListCallArrives, t,
+		tr.gen, uint64(call))
 }
 
-// askedFor is a call's coming to discovery. Calls are handled in turn, also those that nobody waits for any more.
+// listCallArrives handles the arrival of a list call at discovery. Calls are answered one after another, including those
+// that their sidecars have abandoned.
 func (f *fleet) listCallArrives(ev *event) {
 	tr := &f.tiers[ev.id]
 	if tr.gen != ev.gen {
 		return
 	}
-	d, in, p := &f.discovery, &f.discovery.instances[tr.instance], &f.sidecars[tr.sidecar]
-	returnDelay := f.net.delay(in.location, p.location, &d.randSource)
+	d, in, sc := &f.discovery, &f.discovery.instances[tr.instance], &f.sidecars[tr.sidecar]
+	returnDelay := f.net.delay(in.location, sc.location, &d.randSource)
 	f.control.addSidecarBytes(f, callBytes)
 	if d.downFaults > 0 {
 		f.control.countRefusal(f)
@@ -266,10 +271,10 @@
 	f.schedule(in.busyUntil, evListCallServed, ev.id, ev.gen, ev.arg)
 }
 
-// turn is discovery's answer to a call, which is a watch from now on.
+// serveListCall sends discovery's answer to a list call, which becomes a watch.
 func (f *fleet) serveListCall(ev *event) {
 	tr := &f.tiers[ev.id]
-	d, in, p := &f.discovery, &f.discovery.instances[tr.instance], &f.sidecars[tr.sidecar]
+	d, in, sc := &f.discovery, &f.discovery.instances[tr.instance], &f.sidecars[tr.sidecar]
 	if !f.pushed() {
 		in.queued--
 	}
@@ -288,10 +293,10 @@
 	delay := int64(0)
 	if !f.pushed() {
 		f.control.addBytes(f, size)
-		if !f.net.reaches(in.region, p.region) {
+		if !f.net.reaches(in.region, sc.region) {
 			return
 		}
-		delay = f.net.delay(in.location, p.location, &d.randSource)
+		delay = f.net.delay(in.location, sc.location, &d.randSource)
 	}
 	if call > tr.watchedCall {
 		tr.watchedCall, tr.sentVersion = call, version
@@ -307,7 +312,7 @@
 	return int32(len(f.services[service].changeLog))
 }
 
-// told is the arrival of a watch's first object.
+// listArrives handles the arrival of a watch's first object at the sidecar.
 func (f *fleet) listArrives(ev *event) {
 	tr := &f.tiers[ev.id]
 	if tr.gen != ev.gen {
@@ -316,7 +321,7 @@
 	call, version := int(ev.arg>>32), int32(uint32(ev.arg))
 	f.handleWatchEvent(ev.id, listwatch.Event{Kind: listwatch.EvAnswered, Call: call})
 	if watched := tr.watcher.ActiveCall(); watched != call {
-		if tr.watchedCall == call { // it was given up meanwhile: its connection is closed
+		if tr.watchedCall == call { // the sidecar has abandoned the call, so its connection is closed
 			tr.watchedCall = 0
 			if watched > tr.deadUpTo {
 				tr.watchedCall, tr.sentVersion = watched, tr.version
@@ -340,7 +345,7 @@
 	f.applyChanges(ev.id, version, true)
 }
 
-// delta is the arrival of a change on a watch.
+// changeArrives handles the arrival of a change on a watch at the sidecar.
 func (f *fleet) changeArrives(ev *event) {
 	tr := &f.tiers[ev.id]
 	call, version := int(ev.arg>>32), int32(uint32(ev.arg))
@@ -352,7 +357,7 @@
 	f.applyChanges(ev.id, version, false)
 }
 
-// apply tells the module what changed up to a version.
+// applyChanges passes the changes up to a version to the module.
 func (f *fleet) applyChanges(t, version int32, answer bool) {
 	tr := &f.tiers[t]
 	s := &f.services[tr.service]
@@ -370,7 +375,7 @@
 	f.handleModuleEvent(t, &f.event)
 }
 
-// noteState keeps when a sidecar was told that an endpoint is not to be used.
+// recordState records when a sidecar was notified that an endpoint is no longer ready.
 func (f *fleet) recordState(tr *tier, s *service, e *forkline.ServerEntry) {
 	endpoint, _ := f.findEndpoint(e.Server)
 	pool := &tr.conns[endpoint-s.firstEndpoint]
@@ -381,7 +386,7 @@
 	}
 }
 
-// counted takes the module off those that have not heard of the changes up to a version.
+// acknowledgeChanges records that a tier has applied the changes up to a version.
 func (f *fleet) acknowledgeChanges(tr *tier, version int32) {
 	s := &f.services[tr.service]
 	for i := max(tr.version, tr.startVersion); i < version; i++ {
@@ -393,14 +398,14 @@
 	tr.version = max(tr.version, version)
 }
 
-// listEnded is a sidecar's hearing that a call failed or that its watch broke.
+// listCallEnds notifies the discovery policy that a list call failed or its watch broke.
 func (f *fleet) listCallEnds(ev *event) {
 	if f.tiers[ev.id].gen == ev.gen {
 		f.handleWatchEvent(ev.id, listwatch.Event{Kind: listwatch.EvCallEnded, Call: int(ev.arg)})
 	}
 }
 
-// note has discovery learn of an endpoint's state.
+// reportState reports an endpoint's state to discovery, which learns of it after its lag.
 func (f *fleet) reportState(e int32, state forkline.ServerState) {
 	pending := pendingChange{service: f.endpoints[e].service, region: f.endpoints[e].region}
 	pending.entry, pending.madeAt = f.serverEntry(e, state), f.now
@@ -408,7 +413,7 @@
 	f.schedule(f.now+int64(f.exp.Discovery.Lag), evDiscoveryLearns, 0, 0, uint64(len(f.discovery.pendingChanges)-1))
 }
 
-// learn puts a change into its list and writes it on all watches, one after another.
+// learnChange appends a change to its list and writes it to all watches one after another.
 func (f *fleet) learnChange(ev *event) {
 	d := &f.discovery
 	pending := &d.pendingChanges[ev.arg]
@@ -448,16 +453,16 @@
 	}
 }
 
-// write sends each of the modules what it has not been sent yet.
+// writeChanges sends each of the tiers the changes that it has not been sent yet.
 func (f *fleet) writeChanges(in *instance, tiers []int32) {
 	d := &f.discovery
 	at := max(f.now, in.busyUntil)
 	start := at
 	for _, t := range tiers {
 		tr := &f.tiers[t]
-		p := &f.sidecars[tr.sidecar]
+		sc := &f.sidecars[tr.sidecar]
 		version := f.knownVersion(in, tr.service)
-		if tr.watchedCall == 0 || tr.sentVersion >= version || !f.net.reaches(in.region, p.region) {
+		if tr.watchedCall == 0 || tr.sentVersion >= version || !f.net.reaches(in.region, sc.region) {
 			continue
 		}
 		at += int64(f.exp.Discovery.WriteTime)
@@ -467,14 +472,15 @@
 			f.control.addDiscoveryBytes(f, objectBytes+int(version-tr.sentVersion)*f.exp.Discovery.EntryBytes)
 		}
 		tr.sentVersion = version
-		tr.lastArrival = max(tr.lastArrival, at+f.net.delay(in.location, p.location, &d.randSource))
+		tr.lastArrival = max(tr.lastArrival, at+f.net.delay(in.location, sc.location, &d.randSource))
 		f.schedule(tr.lastArrival, evChangeArrives, t, tr.gen, uint64(tr.watchedCall)<<32|uint64(version))
 	}
 	f.control.addBusyTime(f, at-start)
 	in.busyUntil = max(in.busyUntil, at)
 }
 
-// beats puts a sign of life on each watch of an instance, and what could not be written before. Beats take no time.
+// sendHeartbeats sends a heartbeat on each watch of an instance, and the changes that could not be written before.
+// Heartbeats take no time.
 func (f *fleet) sendHeartbeats(id int32) {
 	in := &f.discovery.instances[id]
 	f.schedule(f.now+toNanos(heartbeatInterval), evHeartbeat, id, 0, 0)
@@ -497,30 +503,31 @@
 	f.writeChanges(in, in.allTiers)
 }
 
-// endWatches breaks all calls and watches as discovery goes down, or lets them fall silent.
+// breakWatches ends all calls and watches when discovery goes down. If silently is true, they become silent instead.
 func (f *fleet) breakWatches(silently bool) {
 	if f.pushed() {
-		return // watches are on agents
+		return // the watches are on the agents
 	}
 	for t := range f.tiers {
 		tr := &f.tiers[t]
 		if tr.balancer == nil {
 			continue
 		}
-		in, p := &f.discovery.instances[tr.instance], &f.sidecars[tr.sidecar]
-		for call := tr.deadUpTo + 1; call <= tr.lastCallSeen && !silently && f.net.reaches(in.region, p.region); call++ {
-			f.schedule(f.now+f.net.delay(in.location, p.location, &f.discovery.randSource), evListCallEnds, int32(t), tr.gen, uint64(call))
+		in, sc := &f.discovery.instances[tr.instance], &f.sidecars[tr.sidecar]
+		for call := tr.deadUpTo + 1; call <= tr.lastCallSeen && !silently && f.net.reaches(in.region, sc.region); call++ {
+			f.schedule(f.now+f.net.delay(in.location, sc.location, &f.discovery.randSource), evListCallEnds, int32(t), tr.gen,
+				uint64(call))
 		}
 		tr.deadUpTo, tr.watchedCall = tr.lastCallSeen, 0
 	}
-	for i := range f.discovery.instances { // calls that wait for their turn go with the process
+	for i := range f.discovery.instances { // the calls in the queue are lost with the process
 		if !silently {
 			f.discovery.instances[i].busyUntil = f.now
 		}
 	}
 }
 
-// cut has instances in a region that is split off know what they know, and catch up once it is back.
+// setSplit freezes the versions of the instances in a region that is split off, or lets them catch up when the split ends.
 func (f *fleet) setSplit(region int, split bool) {
 	for i := range f.discovery.instances {
 		in := &f.discovery.instances[i]
@@ -545,7 +552,7 @@
 	}
 }
 
-// heard notes that a sidecar has heard of discovery since the ends of faults.
+// recordContact records that discovery has reached a tier since the ends of all faults so far.
 func (f *fleet) recordContact(t int32) {
 	tr := &f.tiers[t]
 	for ; int(tr.faultEndsSeen) < len(f.faultEnds); tr.faultEndsSeen++ {
--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -7,40 +7,40 @@
 	"forkline"
 )
 
-// endpoint is one server of a service. It shares its cores evenly among the requests it works on, as processor sharing
-// does; a request that waits for a call of its own holds a slot and no core. An endpoint does its own work first, then
-// makes its calls one after another. Requests that are not played take their mean of the cores.
+// endpoint is one server of a service. It divides its cores evenly among the requests in progress (processor sharing). A
+// request that waits for an inner call holds a slot and no core. A request first does its work and then makes its inner
+// calls one after another. Requests that are not simulated take their mean share of the cores.
 type endpoint struct {
 	location
 	randSource
 	service            int32
-	sidecar            int32 // of its sidecar; -1 if it calls nobody
+	sidecar            int32 // its sidecar; -1 if it makes no calls
 	gen                uint16
 	up                 bool
-	vanished           bool // it is down and says nothing: its machine has vanished
-	crashed            bool
+	vanished           bool // its machine is gone: it resets no connections
+	crashed            bool // it crashed while cold, and stays down
 	draining           bool
-	downFaults         int   // faults that hold it down
-	startedAt          int64 // -1 = before the run
+	downFaults         int   // number of active faults that keep it down
+	startedAt          int64 // -1 if before the run
 	drainStart         int64
-	drainKnownAt       int64 // when discovery knew that it drains, or is gone; 0 = it does not
-	predecessorKnownAt int64 // and that its predecessor did
+	drainKnownAt       int64 // when discovery learned that it drains or is removed; 0 if it has not
+	predecessorKnownAt int64 // the same of its predecessor
 	workHeap           []workItem
 	slots              []int32 // attempts that hold a slot
-	progress           float64 // seconds of work that each has been given
-	speed              float64 // seconds of work a second, for each
-	progressAt         int64   // of progress
-	wakeAt             int64   // of the pending evWork; 0 = none
-	recentCalls        []int64 // when calls came, while it is cold
+	progress           float64 // seconds of work done for each request in progress since the heap was last empty
+	speed              float64 // seconds of work per second for each request
+	progressAt         int64   // time of the last update of progress
+	wakeAt             int64   // time of the pending evWorkDone; 0 if there is none
+	recentCalls        []int64 // arrival times of recent calls while it is cold
 }
 
-// work is what an attempt still needs, as the endpoint's progress at its end.
+// workItem is the work of an attempt; it is done when the endpoint's progress reaches endProgress.
 type workItem struct {
 	endProgress float64
 	attempt     int32
 }
 
-// coldShare is the part of its capacity that an endpoint has now.
+// capacityShare returns the share of its capacity that an endpoint has now; it is below 1 while the endpoint is cold.
 func (f *fleet) capacityShare(e *endpoint) float64 {
 	cfg := &f.exp.Sidecar
 	if e.startedAt < 0 || cfg.RampTime <= 0 {
@@ -50,7 +50,7 @@
 	return min(1, cfg.ColdCapacity+(1-cfg.ColdCapacity)*max(age, 0))
 }
 
-// busy is the cores that requests take which are not played.
+// backgroundCores returns the mean number of cores that the requests take that are not simulated.
 func (f *fleet) backgroundCores(e *endpoint) float64 {
 	s := &f.services[e.service]
 	if s.simulatedShare >= 1 {
@@ -59,7 +59,7 @@
 	return s.startRate.value(f.now) * (1/s.simulatedShare - 1) * seconds(s.MeanWork) / float64(max(s.endpointsUp, 1))
 }
 
-// advance gives the requests in work what they got since the last time.
+// advanceWork updates the progress of the requests in progress to the current time.
 func (f *fleet) advanceWork(e *endpoint) {
 	if len(e.workHeap) > 0 {
 		e.progress += e.speed * float64(f.now-e.progressAt) / 1e9
@@ -69,7 +69,7 @@
 	e.progressAt = f.now
 }
 
-// resume sets the speed anew, for now, and when the next request is done.
+// rescheduleWork recomputes the speed and schedules the end of the next request's work.
 func (f *fleet) rescheduleWork(id int32, e *endpoint) {
 	if len(e.workHeap) == 0 {
 		return
@@ -86,7 +86,7 @@
 	}
 }
 
-// worked ends the work on the requests whose time has come.
+// workDone continues the requests whose work is done.
 func (f *fleet) workDone(ev *event) {
 	e := &f.endpoints[ev.id]
 	if e.gen != ev.gen || uint64(e.wakeAt) != ev.arg {
@@ -133,16 +133,16 @@
 	}
 }
 
-// dropWork takes an attempt out before its work is done.
+// removeWork removes an attempt before its work is done.
 func (e *endpoint) removeWork(attempt int32) {
 	rest := slices.DeleteFunc(e.workHeap, func(w workItem) bool { return w.attempt == attempt })
 	e.workHeap = e.workHeap[:0]
-	for _, w := range rest { // the heap is made anew in place: what is read lies ahead of what is written
+	for _, w := range rest { // rebuilds the heap in place: elements are read before they are overwritten
 		e.pushWork(w)
 	}
 }
 
-// reach is an attempt's coming to its endpoint.
+// attemptArrives handles the arrival of an attempt at its endpoint.
 func (f *fleet) attemptArrives(ev *event) {
 	a := f.attemptOf(ev)
 	if a == nil {
@@ -187,8 +187,9 @@
 	f.rescheduleWork(id, e)
 }
 
-// falls counts a call to a cold endpoint. It falls, and stays down, when more than N + 2 root N + 2 come in the time
-// that the settings name, N being what they allow at its present capacity.
+// crashesCold counts a call to a cold endpoint and reports whether the endpoint crashes, after which it stays down. It
+// crashes if more than N + 2*sqrt(N) + 2 calls arrive within the overload window, where N is the number of calls that the
+// overload multiple allows at the endpoint's current capacity.
 func (f *fleet) crashesCold(id int32, e *endpoint) bool {
 	cfg := &f.exp.Sidecar
 	share := f.capacityShare(e)
@@ -216,7 +217,7 @@
 	return ratio > 1
 }
 
-// proceed makes the next call for a request, or answers it.
+// continueRequest makes the next inner call of a request, or answers it.
 func (f *fleet) continueRequest(id int32) {
 	a := &f.attempts[id]
 	e := &f.endpoints[a.endpoint]
@@ -236,8 +237,8 @@
 		a.nextCallee++
 	}
 	a.repeatsLeft--
-	p := &f.sidecars[e.sidecar]
-	t := p.firstTier + int32(s.calls[a.nextCallee-1].tier)
+	sc := &f.sidecars[e.sidecar]
+	t := sc.firstTier + int32(s.calls[a.nextCallee-1].tier)
 	class := uint16(0)
 	if c := &f.calls[a.call]; c.gen == a.callGen {
 		class = c.class
@@ -245,7 +246,7 @@
 	f.startCall(t, class, a.deadline, id)
 }
 
-// stepped hears how the call ended that a request had made.
+// innerCallEnds handles the end of a request's inner call.
 func (f *fleet) innerCallEnds(ev *event) {
 	a := f.attemptOf(ev)
 	if a == nil || !a.holdsSlot {
@@ -260,7 +261,7 @@
 	f.sendOutcome(ev.id, forkline.Error, e.location)
 }
 
-// leave frees the slot of an attempt, and its part of the cores.
+// releaseSlot frees an attempt's slot and its share of the cores.
 func (f *fleet) releaseSlot(id int32) {
 	a := &f.attempts[id]
 	e := &f.endpoints[a.endpoint]
@@ -276,7 +277,7 @@
 	a.holdsSlot, a.processing = false, false
 }
 
-// stopWork is an endpoint's hearing that nobody waits for an attempt any more: it does no more for it.
+// cancelArrives handles the arrival of a cancellation at the endpoint, which stops processing the attempt.
 func (f *fleet) cancelArrives(ev *event) {
 	a := f.attemptOf(ev)
 	if a == nil {
@@ -298,8 +299,7 @@
 	}
 }
 
-// goDown ends an endpoint and its sidecar. A machine that vanishes says nothing; a process that ends resets its
-// connections.
+// takeDown ends an endpoint and its sidecar. A process that ends resets its connections; a machine that vanishes does not.
 func (f *fleet) takeDown(id int32, vanished bool) {
 	e := &f.endpoints[id]
 	if !e.up {
@@ -323,7 +323,7 @@
 	e.slots, e.workHeap, e.progress, e.wakeAt = e.slots[:0], e.workHeap[:0], 0, 0
 }
 
-// comeUp starts an endpoint and its sidecar, cold.
+// bringUp starts an endpoint, which is cold, and its sidecar.
 func (f *fleet) bringUp(id int32) {
 	e := &f.endpoints[id]
 	if e.up || e.crashed || e.downFaults > 0 {
