--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -7,89 +7,90 @@
 	"forkline/internal/deadline"
 )
 
-// What the network code of a real sidecar adds to the module; internal/sidecar names the same figures.
+// Parameters of a real sidecar's network code around the module. internal/sidecar uses the same values.
 const (
 	answerSlack         = 50 * time.Millisecond
-	backstopDelay       = 10 * time.Millisecond // after that, or half of the margin, the sidecar answers for the module
+	backstopDelay       = 10 * time.Millisecond // after the module's deadline the sidecar answers; at most half the margin
 	dialTimeout         = 250 * time.Millisecond
-	idleReuseShare      = 0.8 // of the idle limit, after which a connection is not used again
-	handshakeDelays     = 2   // more one-way delays that the first request on a connection waits
-	deemedNotifiedAfter = 6 * time.Second
-	timerDelay          = int64(time.Microsecond) // timers come this much late: one that is early by rounding would be set again for ever
+	idleReuseShare      = 0.8                     // share of the idle timeout after which a connection is not reused
+	handshakeDelays     = 2                       // additional one-way delays of the first request on a connection
+	deemedNotifiedAfter = 6 * time.Second         // see checkDrain
+	timerDelay          = int64(time.Microsecond) // timers fire this late: an early one would be rearmed forever
 )
 
-// process is a hollow sidecar: a module for each service it balances for, and no sockets. One at the front has one
-// module; one beside an endpoint has one for each service that the endpoint calls.
+// sidecar is a hollow sidecar: one module for each service that it balances for, and no sockets. A front sidecar has one
+// module; a sidecar beside an endpoint has one for each service that the endpoint calls.
 type sidecar struct {
 	location
 	randSource
-	endpoint           int32 // beside which it runs; -1 = at the front
-	firstTier, endTier int32 // its modules
+	endpoint           int32 // endpoint beside which it runs; -1 for a front sidecar
+	firstTier, endTier int32 // range of its tiers
 	startCount         int32
 	up                 bool
-	downFaults         int   // faults that hold it down; of a front sidecar
-	downAt             int64 // when it went
+	downFaults         int   // number of active faults that keep a front sidecar down
+	downAt             int64 // when it went down
 	margin             deadline.Margin
 }
 
-// conn is what a sidecar holds of one endpoint: idle connections, and when it was told that the endpoint drains.
+// connPool is the state of one endpoint at a sidecar: idle connections, and when the sidecar was notified that the endpoint
+// is no longer ready.
 type connPool struct {
 	lastUsed    int64
-	notifiedAt  int64 // 0 = it is to be used, as far as told
+	notifiedAt  int64 // 0 if the endpoint is ready in the sidecar's list
 	idleConns   uint16
 	endpointGen uint16
 }
 
-// tier is one module of a process, with its watch on the list of the service that it balances for.
+// tier is one module of a sidecar with its watch on the list of the service that it balances for.
 type tier struct {
 	sidecar, service int32
 	rank             int32
 	gen              uint16
 	balancer         *forkline.Balancer
 	conns            []connPool
-	openCalls        []int32 // calls
+	openCalls        []int32 // indexes of calls
 	watch
 }
 
-// call is one request at one sidecar, from a client or from the endpoint beside it.
+// call is one request at one sidecar, from a client or from the endpoint beside the sidecar.
 type call struct {
 	tier           int32
-	parent         int32 // the attempt that made it; -1 = a client
-	openIndex      int32 // in the list of its tier
+	parent         int32 // attempt whose request makes the call; -1 for a client's call
+	openIndex      int32 // index in its tier's openCalls; -1 after its release
 	gen            uint16
 	parentGen      uint16
 	class          uint16
-	openAttempts   int16 // attempts out
+	openAttempts   int16 // number of attempts without an outcome
 	executions     uint8
 	ended          bool
 	measured       bool
 	arrivedAt      int64
-	clientDeadline int64 // its client gives up
-	answerBy       int64 // the sidecar has answered
-	waitTime       int64 // time in which no attempt of it, or of the calls it led to, was out
+	clientDeadline int64 // when its client times out
+	answerBy       int64 // deadline of the module for its answer
+	waitTime       int64 // time without an open attempt, of this call and of its inner calls
 	waitingSince   int64
-	attempts       []int32 // by their number
+	attempts       []int32 // indexes of attempts, by their number
 }
 
-// attempt is one send of a call, and its request at the endpoint.
+// attempt is one send of a call with its request at the endpoint.
 type attempt struct {
 	call, tier, endpoint int32
 	server               uint32
 	gen, callGen         uint16
 	number               uint16
-	nextCallee           int16 // calls of the endpoint: the next kind
-	repeatsLeft          int32 // and how many of the present kind
-	innerCall            int32 // the call it waits for; -1 = none
-	slot                 int32 // among those that hold a slot
-	open                 bool  // its sidecar waits for it
-	inTransit            bool  // on the way to the endpoint
-	holdsSlot            bool  // it holds a slot there
+	nextCallee           int16 // index of the service's next callSpec
+	repeatsLeft          int32 // calls that remain for the current callSpec
+	innerCall            int32 // call that it waits for; -1 if there is none
+	slot                 int32 // index in the endpoint's slots
+	open                 bool  // its sidecar waits for its outcome
+	inTransit            bool  // it is on the way to the endpoint
+	holdsSlot            bool  // it has a slot at the endpoint
 	processing           bool
-	answerInTransit      bool // the answer is on its way
+	answerInTransit      bool // its outcome is on the way to the sidecar
 	cancelled            bool
 	free                 bool
 	sentAt, deadline     int64
-	innerWait            int64 // of the calls it made
+	innerWait            int64 // sum of waitTime of its inner calls
 }
 
 // status is how a call ended.
@@ -101,7 +102,7 @@
 	failed
 )
 
-// ids of calls in the module: a place in the slab and a generation, so that an id is not soon used again.
+// A request id in the module consists of the index of the call and a generation, so that ids are not reused soon.
 const (
 	callIndexBits   = 22
 	maxOpenCalls    = 1 << callIndexBits
@@ -111,7 +112,7 @@
 )
 
 func (f *fleet) allocCall() int32 {
-	if len(f.freeCalls) > minFreeCalls { // the one that has been free for longest
+	if len(f.freeCalls) > minFreeCalls { // reuse the call that was freed first
 		c := f.freeCalls[0]
 		f.freeCalls = f.freeCalls[1:]
 		return c
@@ -135,12 +136,12 @@
 	}
 }
 
-// take begins a call at a sidecar. Its client waits until the given time.
+// startCall starts a call at a sidecar. Its client waits until clientDeadline.
 func (f *fleet) startCall(t int32, class uint16, clientDeadline int64, parent int32) {
 	tr := &f.tiers[t]
 	margin := &f.sidecars[tr.sidecar].margin
 	reserved := int64(margin.Reserve(toMillis(clientDeadline-f.now), toMillis(f.now)) * 1e6)
-	margin.Observe(deadline.Intake, toMillis(f.now), 0) // a hollow sidecar waits for no core
+	margin.Observe(deadline.Intake, toMillis(f.now), 0) // a hollow sidecar never waits for a core
 	id := f.allocCall()
 	c := &f.calls[id]
 	*c = call{
@@ -165,8 +166,8 @@
 	return uint32(c) | uint32(f.calls[c].gen%callGenerations)<<callIndexBits
 }
 
-// handle gives the module an event and carries its actions out. None of them is answered before all are carried out,
-// so this is never entered twice.
+// handleModuleEvent passes an event to the module and carries out its actions. No action leads to another module event before
+// all actions are carried out, so calls of this function are never nested.
 func (f *fleet) handleModuleEvent(t int32, ev *forkline.Event) {
 	tr := &f.tiers[t]
 	f.meter.start(ev.Kind == forkline.EvList)
@@ -196,7 +197,7 @@
 	}
 }
 
-// callOf is the call that a module means; -1 if there is none any more.
+// callByRequest returns the call with a module's request id, or -1 if it no longer exists.
 func (f *fleet) callByRequest(t int32, request uint32) int32 {
 	id := int32(request & (maxOpenCalls - 1))
 	if int(id) >= len(f.calls) || f.requestID(id) != request || f.calls[id].tier != t {
@@ -205,18 +206,18 @@
 	return id
 }
 
-// send starts an attempt.
+// sendAttempt starts an attempt.
 func (f *fleet) sendAttempt(t int32, action *forkline.Action) {
 	id := f.callByRequest(t, action.Request)
 	if id < 0 || f.calls[id].ended {
 		return
 	}
 	tr, c := &f.tiers[t], &f.calls[id]
-	p, s := &f.sidecars[tr.sidecar], &f.services[tr.service]
+	sc, s := &f.sidecars[tr.sidecar], &f.services[tr.service]
 	target, current := f.findEndpoint(action.Server)
 	e := &f.endpoints[target]
 	pool := &tr.conns[target-s.firstEndpoint]
-	f.checkDrain(tr, p, e, pool, action.Server)
+	f.checkDrain(tr, sc, e, pool, action.Server)
 
 	n := int32(len(f.attempts))
 	if free := len(f.freeAttempts); free > 0 {
@@ -240,7 +241,7 @@
 		pool.endpointGen, pool.idleConns = generation, 0
 	}
 	newConnection := pool.idleConns == 0
-	delay := f.net.delay(p.location, e.location, &p.randSource)
+	delay := f.net.delay(sc.location, e.location, &sc.randSource)
 	if newConnection {
 		delay *= 1 + handshakeDelays
 	} else {
@@ -250,11 +251,11 @@
 	f.schedule(a.deadline, evAttemptTimeout, n, a.gen, 0)
 	lastByteBy := int64(action.LastByteBy * 1e6)
 	switch {
-	case lastByteBy > 0 && newConnection && f.now+handshakeDelays*delay/(1+handshakeDelays) > lastByteBy: // its connection is up too late
+	case lastByteBy > 0 && newConnection && f.now+handshakeDelays*delay/(1+handshakeDelays) > lastByteBy: // connected too late
 		f.scheduleOutcome(n, forkline.NotSent, max(lastByteBy, f.now))
-	case !current || !e.up && !e.vanished: // its machine is there and refuses
+	case !current || !e.up && !e.vanished: // the machine is up and refuses the connection
 		f.scheduleOutcome(n, forkline.ConnectFailed, f.now+2*delay/(1+handshakeDelays))
-	case !e.up || !f.net.reaches(p.region, e.region): // nothing answers
+	case !e.up || !f.net.reaches(sc.region, e.region): // no answer
 		if newConnection {
 			f.scheduleOutcome(n, forkline.ConnectFailed, min(f.now+toNanos(dialTimeout), a.deadline))
 		}
@@ -264,37 +265,39 @@
 	}
 }
 
-// checkDrain counts a send to an endpoint that drains or is gone, past the grace since its sidecar was told. What
-// discovery knows counts as told some seconds after it could be reached, whether or not it came.
-func (f *fleet) checkDrain(tr *tier, p *sidecar, e *endpoint, pool *connPool, server uint32) {
+// checkDrain counts a send to an endpoint that drains or is removed if the drain grace has passed since the sidecar was
+// notified. The sidecar counts as notified of a state that discovery knows 6 s (deemedNotifiedAfter) after it could reach
+// discovery, whether or not the notification arrived.
+func (f *fleet) checkDrain(tr *tier, sc *sidecar, e *endpoint, pool *connPool, server uint32) {
 	notified, known := pool.notifiedAt, int64(0)
 	switch uint32(e.gen) - server/uint32(len(f.endpoints)) {
 	case 0:
 		known = e.drainKnownAt
 	case 1:
-		known, notified = e.predecessorKnownAt, 0 // what it was told later is of the successor
+		known, notified = e.predecessorKnownAt, 0 // later notifications are about the successor
 	}
 	if known > 0 {
-		deemed := max(known, f.discovery.reachableSince, f.splitEndedAt[p.region], tr.startedAt) + toNanos(deemedNotifiedAfter)
+		deemed := max(known, f.discovery.reachableSince, f.splitEndedAt[sc.region], tr.startedAt) + toNanos(deemedNotifiedAfter)
 		if notified == 0 || deemed < notified {
 			notified = deemed
 		}
 	}
-	reachable := f.discovery.responds() && f.discovery.refusingFaults == 0 && f.net.splits[p.region] == 0
-	if notified > 0 && (reachable || notified == pool.notifiedAt) && f.now > notified+int64(f.exp.Sidecar.DrainGrace)+toNanos(answerSlack) {
+	reachable := f.discovery.responds() && f.discovery.refusingFaults == 0 && f.net.splits[sc.region] == 0
+	if notified > 0 && (reachable || notified == pool.notifiedAt) &&
+		f.now > notified+int64(f.exp.Sidecar.DrainGrace)+toNanos(answerSlack) {
 		f.violations.DrainingSends++
 	}
 }
 
-// answer sends an outcome to the sidecar that waits for it.
+// sendOutcome sends an attempt's outcome from the endpoint to the sidecar if the sidecar still waits for it.
 func (f *fleet) sendOutcome(id int32, o forkline.Outcome, from location) {
 	a := &f.attempts[id]
-	p := &f.sidecars[f.tiers[a.tier].sidecar]
-	if !a.open || !f.net.reaches(from.region, p.region) {
+	sc := &f.sidecars[f.tiers[a.tier].sidecar]
+	if !a.open || !f.net.reaches(from.region, sc.region) {
 		f.releaseAttempt(id)
 		return
 	}
-	f.scheduleOutcome(id, o, f.now+f.net.delay(from, p.location, &p.randSource))
+	f.scheduleOutcome(id, o, f.now+f.net.delay(from, sc.location, &sc.randSource))
 }
 
 func (f *fleet) scheduleOutcome(id int32, o forkline.Outcome, at int64) {
@@ -303,7 +306,7 @@
 	f.schedule(at, evOutcomeArrives, id, a.gen, uint64(o))
 }
 
-// answered is an outcome's arrival.
+// outcomeArrives handles the arrival of an outcome at the sidecar.
 func (f *fleet) outcomeArrives(ev *event) {
 	a := f.attemptOf(ev)
 	if a == nil {
@@ -317,7 +320,7 @@
 	f.closeAttempt(ev.id, forkline.Outcome(ev.arg))
 }
 
-// closeAttempt tells the module how an attempt ended.
+// closeAttempt ends an attempt and reports its outcome to the module.
 func (f *fleet) closeAttempt(id int32, o forkline.Outcome) {
 	a := &f.attempts[id]
 	a.open = false
@@ -344,7 +347,7 @@
 	f.releaseCall(owner)
 }
 
-// expire gives an attempt up at its time.
+// attemptTimeout ends an attempt that is still open at its deadline.
 func (f *fleet) attemptTimeout(ev *event) {
 	if a := f.attemptOf(ev); a != nil && a.open {
 		f.notifyCancel(ev.id)
@@ -352,7 +355,7 @@
 	}
 }
 
-// callOff ends an attempt whose call does not wait for it any more; the module hears of that a moment later.
+// cancelAttempt cancels an attempt. The outcome reaches the module in a later event at the same time.
 func (f *fleet) cancelAttempt(id int32) {
 	a := &f.attempts[id]
 	if a.open {
@@ -361,17 +364,17 @@
 	}
 }
 
-// tellStop closes the attempt's connection, which its endpoint hears of.
+// notifyCancel closes the attempt's connection, which notifies its endpoint.
 func (f *fleet) notifyCancel(id int32) {
 	a := &f.attempts[id]
 	target, _ := f.findEndpoint(a.server)
-	e, p := &f.endpoints[target], &f.sidecars[f.tiers[a.tier].sidecar]
-	if (a.inTransit || a.holdsSlot) && f.net.reaches(p.region, e.region) {
-		f.schedule(f.now+f.net.delay(p.location, e.location, &p.randSource), evCancelArrives, id, a.gen, 0)
+	e, sc := &f.endpoints[target], &f.sidecars[f.tiers[a.tier].sidecar]
+	if (a.inTransit || a.holdsSlot) && f.net.reaches(sc.region, e.region) {
+		f.schedule(f.now+f.net.delay(sc.location, e.location, &sc.randSource), evCancelArrives, id, a.gen, 0)
 	}
 }
 
-// finishOnce gives a call the final answer that the module has made.
+// finishOnce finishes a call with the module's answer, or counts a violation if the call has already ended.
 func (f *fleet) finishOnce(id int32, s status) {
 	if id < 0 || f.calls[id].ended {
 		f.violations.DuplicateAnswers++
@@ -380,7 +383,7 @@
 	f.finishCall(id, s)
 }
 
-// finish gives a call its final answer.
+// finishCall records the final answer of a call and returns it to the caller.
 func (f *fleet) finishCall(id int32, s status) {
 	c := &f.calls[id]
 	c.ended = true
@@ -399,7 +402,7 @@
 	f.releaseCall(id)
 }
 
-// releaseCall forgets a call once nothing more can be heard of it.
+// releaseCall releases a call that has ended and has no open attempts.
 func (f *fleet) releaseCall(id int32) {
 	c := &f.calls[id]
 	if !c.ended || c.openAttempts > 0 || c.openIndex < 0 {
@@ -414,7 +417,8 @@
 	c.openIndex = -1
 }
 
-// reuse makes the calls free that were forgotten during an event: until its end their ids are still in use.
+// recycleCalls frees the calls that were released during an event. It runs after the event, as their ids are in use until
+// then.
 func (f *fleet) recycleCalls() {
 	for _, id := range f.releasedCalls {
 		f.calls[id].gen++
@@ -423,7 +427,7 @@
 	f.releasedCalls = f.releasedCalls[:0]
 }
 
-// backstop answers what the module has left unanswered.
+// backstopDue answers a call that the module has not answered.
 func (f *fleet) backstopDue(ev *event) {
 	c := &f.calls[ev.id]
 	if c.gen != ev.gen || c.ended {
@@ -433,14 +437,15 @@
 	f.abandonCall(ev.id)
 }
 
-// gone hears that the endpoint that made a call does not wait for it any more.
+// callerGone abandons an inner call whose caller does not wait for it any more.
 func (f *fleet) callerGone(id int32) {
 	if c := &f.calls[id]; !c.ended {
 		f.abandonCall(id)
 	}
 }
 
-// leaveCall ends a call from outside the module: with a refusal only if nothing of it can have run.
+// abandonCall ends a call without an answer of the module. The call is refused only if no attempt can have executed,
+// otherwise it fails.
 func (f *fleet) abandonCall(id int32) {
 	c := &f.calls[id]
 	for _, a := range c.attempts {
@@ -458,19 +463,19 @@
 	f.handleModuleEvent(t, &f.event)
 }
 
-// startProcess starts the modules of a process anew, with the lists that they had before.
+// startSidecar starts the modules of a sidecar, with the lists that they had before a restart.
 func (f *fleet) startSidecar(id int32) {
-	p := &f.sidecars[id]
-	p.up = true
-	p.startCount++
-	p.margin = deadline.Margin{}
-	for t := p.firstTier; t < p.endTier; t++ {
+	sc := &f.sidecars[id]
+	sc.up = true
+	sc.startCount++
+	sc.margin = deadline.Margin{}
+	for t := sc.firstTier; t < sc.endTier; t++ {
 		tr := &f.tiers[t]
 		s := &f.services[tr.service]
-		seed := newRandSource(f.exp.Seed, actorModule, int(t)<<12|int(p.startCount&0xfff))
-		b, err := forkline.New(f.moduleSettings(s, p.endpoint < 0, int(tr.rank), p.location), seed.Uint64(), toMillis(f.now))
+		seed := newRandSource(f.exp.Seed, actorModule, int(t)<<12|int(sc.startCount&0xfff))
+		b, err := forkline.New(f.moduleSettings(s, sc.endpoint < 0, int(tr.rank), sc.location), seed.Uint64(), toMillis(f.now))
 		if err != nil {
-			f.err = err // the settings are the same for all, so this is seen at the start
+			f.err = err // all modules share the settings, so an error occurs before the first event
 			return
 		}
 		tr.balancer = b
@@ -478,15 +483,15 @@
 	}
 }
 
-// endProcess ends the modules of a process; what they had taken and not answered is lost with them.
+// stopSidecar ends the modules of a sidecar. Their unanswered calls fail.
 func (f *fleet) stopSidecar(id int32) {
-	p := &f.sidecars[id]
-	if !p.up {
+	sc := &f.sidecars[id]
+	if !sc.up {
 		return
 	}
-	p.up, p.downAt = false, f.now
-	vanished := p.endpoint < 0 || f.endpoints[p.endpoint].vanished // only faults end one at the front
-	for t := p.firstTier; t < p.endTier; t++ {
+	sc.up, sc.downAt = false, f.now
+	vanished := sc.endpoint < 0 || f.endpoints[sc.endpoint].vanished // front sidecars end only by faults
+	for t := sc.firstTier; t < sc.endTier; t++ {
 		tr := &f.tiers[t]
 		for len(tr.openCalls) > 0 {
 			c := &f.calls[tr.openCalls[0]]
