--- a/internal/fleet/measure.go
+++ b/internal/fleet/measure.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	maxLatencyMicros    = int64(10 * time.Minute / time.Microsecond) // that a histogram holds; longer ones count as this
-	histogramDigits     = 2                                          // that histograms keep
-	meterSampleInterval = 16                                         // of the module's events that are no lists, one is timed
-	baselineSeconds     = 10                                         // seconds that tell how calls were served before a fault
-	recoveryTolerance   = 0.01                                       // part of calls that may be missing then
+	maxRecordedMicros   = int64(10 * time.Minute / time.Microsecond) // maximum of histograms; longer times count as this
+	histogramDigits     = 2                                          // significant decimal digits of histograms
+	meterSampleInterval = 16                                         // one in this number of module events without lists is timed
+	baselineSeconds     = 10                                         // seconds before a fault that define its baseline
+	recoveryTolerance   = 0.01                                       // share of calls by which recovery may miss the baseline
 )
 
-// callStats are those of one scope.
+// callStats holds the counts and latencies of the calls of one scope.
 type callStats struct {
 	experiment.Calls
 	latency, added *hdrhistogram.Histogram // microseconds
 }
 
 func (c *callStats) init() {
-	c.latency = hdrhistogram.New(1, maxLatencyMicros, histogramDigits)
-	c.added = hdrhistogram.New(1, maxLatencyMicros, histogramDigits)
+	c.latency = hdrhistogram.New(1, maxRecordedMicros, histogramDigits)
+	c.added = hdrhistogram.New(1, maxRecordedMicros, histogramDigits)
 }
 
 func recordDuration(h *hdrhistogram.Histogram, ns int64) {
-	_ = h.RecordValue(min(max(ns/1000, 0), maxLatencyMicros)) // only values outside its range are refused
+	_ = h.RecordValue(min(max(ns/1000, 0), maxRecordedMicros)) // fails only for values outside the range
 }
 
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
@@ -47,13 +47,13 @@
 	return r
 }
 
-// measured tells whether a time is in the measured part of the run.
+// inMeasuredTime reports whether a time is in the measured part of the run.
 func (f *fleet) inMeasuredTime(at int64) bool { return at >= f.measureFrom && at < f.measureEnd }
 
-// second is the one that a time belongs to.
+// secondAt returns the second of the series that contains a time.
 func (f *fleet) secondAt(at int64) *experiment.Second { return &f.seconds[(at-f.measureFrom)/1e9] }
 
-// asked counts a call that a sidecar took. A call counts for the second in which it came.
+// countOffered counts a call that arrives at a sidecar. A call counts for the second of its arrival.
 func (f *fleet) countOffered(c *call) {
 	f.meter.calls++
 	if !c.measured {
@@ -89,7 +89,7 @@
 	}
 }
 
-// count puts a call's end into a scope: any end after its client gave up is late.
+// countEndIn counts the end of a call in one scope. Any end after the client's deadline is late.
 func (f *fleet) countEndIn(stats *callStats, c *call, s status) {
 	switch {
 	case f.now > c.clientDeadline:
@@ -108,7 +108,7 @@
 	}
 }
 
-// unanswered is a client's call that finds no sidecar.
+// countNoSidecar counts a client's call for which no front sidecar is up.
 func (f *fleet) countNoSidecar(service int32) {
 	if !f.inMeasuredTime(f.now) {
 		return
@@ -134,16 +134,16 @@
 	}
 }
 
-// control counts the traffic for control, in the measured time.
+// control counts control traffic in the measured time.
 type control struct {
 	refusedCalls                 int64
 	busyTime                     int64
 	peakQueue                    int
-	sidecarBytes, discoveryBytes int64 // bytes at sidecars and at discovery
+	sidecarBytes, discoveryBytes int64 // bytes sent and received
 	propagation                  *hdrhistogram.Histogram
 }
 
-func (c *control) init() { c.propagation = hdrhistogram.New(1, maxLatencyMicros, histogramDigits) }
+func (c *control) init() { c.propagation = hdrhistogram.New(1, maxRecordedMicros, histogramDigits) }
 
 func (c *control) countListCall(f *fleet) {
 	if f.inMeasuredTime(f.now) {
@@ -198,7 +198,7 @@
 	}
 }
 
-// meter takes the module's processor time, by the clock on the wall: what else the machine does then counts as well.
+// meter measures the module's processor time by wall-clock time, which includes what else the machine does meanwhile.
 type meter struct {
 	events, timed, lists int64
 	eventTime, listTime  time.Duration
@@ -225,14 +225,14 @@
 	}
 }
 
-// heap is what the process has in use, without a stop of the program.
+// heapInUse returns the heap in use in bytes without stopping the program.
 func heapInUse() int64 {
 	sample := [1]metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample[:])
 	return int64(sample[0].Value.Uint64())
 }
 
-// heapLive is what it has in use after a collection.
+// liveHeap returns the heap in use in bytes after a garbage collection.
 func liveHeap() int64 {
 	runtime.GC()
 	return heapInUse()
@@ -306,8 +306,8 @@
 	}
 }
 
-// faultResult tells what a fault cost. Calls are served as before in the first second after its end in which at most one
-// in a hundred more than in the ten seconds before it is not served.
+// faultResult computes the impact of a fault. The fleet has recovered in the first second after the fault's end in which the
+// share of served calls is at most one percentage point below that of the ten seconds before the fault.
 func (f *fleet) faultResult(i int) experiment.FaultResult {
 	ft := &f.faults[i]
 	r := experiment.FaultResult{Fault: ft.Kind, At: toMillis(ft.at - f.measureFrom), RecoveryTime: -1, ResyncMax: -1}
@@ -334,7 +334,7 @@
 		s := &f.seconds[k]
 		r.LostCalls += s.Refused + s.Failed + s.Late
 	}
-	resyncSecond := len(f.seconds) // a second in which all have been answered
+	resyncSecond := len(f.seconds) // second in which discovery has reached all tiers
 	for k := range f.faultEnds {
 		if e := &f.faultEnds[k]; int(e.fault) == i {
 			if e.remaining == 0 {
--- a/internal/fleet/run.go
+++ b/internal/fleet/run.go
@@ -1,32 +1,35 @@
-// Package fleet plays an experiment on a hollow fleet: the project's own model of what it serves. Time is virtual, all
-// random numbers come from the experiment's seed, and everything happens in one goroutine: the same experiment gives the
-// same result, but for what the machine measured (real time, heap, the module's processor time).
+// Package fleet runs an experiment on a hollow fleet, a discrete-event simulation of the sidecars, endpoints, clients,
+// discovery and network of an experiment. Time is virtual, all random numbers come from the experiment's seed, and
+// everything runs in one goroutine. The same experiment gives the same result, except for the figures that depend on the
+// machine: real time, heap and the module's processor time.
 //
-// # What is real, and what stands in
+// # Real and simulated parts
 //
 // A hollow sidecar is the real decision module (package forkline), one instance for each service that it balances for,
-// with the real discovery policy (internal/listwatch), which says when a call is made and a watch is dead. Each instance has a watch of its own, as
-// discovery lists the endpoints of one service. The rest stands in:
+// with the real discovery policy (internal/listwatch), which decides when to call discovery and when a watch is dead. Each
+// instance has its own watch, as discovery lists the endpoints of one service. The rest is simulated:
 //
-//   - Endpoints share their cores evenly among their requests, whose work is exponential. They do it first and then make
-//     their calls one after another through the sidecar beside them; an inner call is a call like any other. Cold ones
-//     start with a part of their capacity, and fall if they get more than the settings allow.
-//   - Clients call at random (Poisson), whether or not they are served, and do not come again.
-//   - Discovery handles calls in turn, each for a time, and writes each change on its watches one after another. A new
-//     process gets the whole list first, then changes. An instance in a region that is cut off stays as it was.
-//   - The network delays messages by where they go, and loses some, which come later; what is sent into a split is lost.
-//     A connection that is opened takes two more one-way delays. Beats take no time.
+//   - Endpoints share their cores evenly among their requests, whose work is exponentially distributed. A request first does
+//     its work and then makes its inner calls one after another through the sidecar beside the endpoint. An inner call is
+//     like any other call. Cold endpoints start with a part of their capacity, and crash if they get more calls than the
+//     settings allow.
+//   - Clients call at random (Poisson) whether or not they are served, and do not retry.
+//   - A discovery instance handles one call at a time, and writes each change to its watches one after another. A new
+//     process first gets the full list, then changes. An instance in a region that is cut off learns of no changes.
+//   - The network delays messages by distance and loses some, which are retransmitted. Messages that are sent during a split
+//     are lost. Opening a connection takes two more one-way delays. Heartbeats have no delay.
 //
-// Control traffic is played in full. A service may be thinned: of its calls only a share is played, the others take
-// their mean of its endpoints' cores, so they wait in no queue. Its sidecars see fewer calls, and so learn later.
+// Control traffic is simulated in full. Of a service's calls only a share may be simulated. The others take their mean
+// share of the endpoints' cores and wait in no queue. The sidecars of such a service see fewer calls, and so learn more
+// slowly.
 //
-// # Unit of work, and memory
+// # Cost
 //
-// The unit of work is one event. A call through one sidecar is about ten: it comes, it is sent, reaches its endpoint,
-// is worked on, is answered, and the timers that guard it. BenchmarkFullSize (2,800 hollow sidecars, 98 services, 11
-// zones, two services in full and the others at a twentieth, 70 s of virtual time with a lost zone, an outage of discovery
-// and a restart wave) took 7.0 s of one core, 32 KB for each sidecar before the first call, and 141 MB of heap at most.
-// A module holds some 800 bytes for each endpoint that it knows; Estimate counts with that.
+// The unit of work is one event. A call through one sidecar takes about ten: it arrives, is sent, reaches its endpoint, is
+// processed and is answered, and has timers for these steps. BenchmarkFullSize (2,800 hollow sidecars, 98 services, 11
+// zones, two services simulated in full and the others at 5 %, 70 s of virtual time with the loss of a zone, a discovery
+// outage and a restart wave) takes 7.0 s of one core, 32 KB for each sidecar before the first call and a peak heap of
+// 141 MB. A module uses about 800 bytes for each endpoint that it knows, which Estimate takes into account.
 package fleet
 
 import (
@@ -43,39 +46,39 @@
 )
 
 const (
-	checkInterval      = 4096        // events between looks at the real time
-	stallCheckInterval = 1 << 24     // events at one instant: far more than calls that are open
-	settleTime         = time.Second // after the last call's time, in which the rest is answered
+	checkInterval      = 4096        // events between checks of the context and of the real time
+	stallCheckInterval = 1 << 24     // events between checks that virtual time advances; far more than happen at one instant
+	settleTime         = time.Second // time after the last call's timeout in which remaining events are handled
 )
 
-// fleet is one run.
+// fleet is the state of one run.
 type fleet struct {
 	clock
 	exp       *experiment.Experiment
 	classes   []forkline.Class
-	shareSum  float64 // sum of the classes'
+	shareSum  float64 // sum of the shares of all classes
 	services  []service
 	endpoints []endpoint
 	sidecars  []sidecar
 	tiers     []tier
 	net       network
-	racks     []int // by zone
-	zoneFrom  []int // first zone of each region
+	racks     []int // number of racks, by zone
+	zoneFrom  []int // first zone, by region
 	discovery discovery
 	faults    []fault
 	faultEnds []faultEnd
 
-	splitEndedAt  []int64 // by region: when the last split ended
+	splitEndedAt  []int64 // end of the last split, by region
 	calls         []call
 	freeCalls     []int32
-	releasedCalls []int32 // forgotten during this event
+	releasedCalls []int32 // calls released during the current event
 	attempts      []attempt
 	freeAttempts  []int32
-	event         forkline.Event // handed to modules, used again
+	event         forkline.Event // event passed to a module, reused
 	actions       []forkline.Action
 	watchActions  []listwatch.Action
 
-	measureFrom, measureEnd, runEnd int64 // measured time, and when the run ends
+	measureFrom, measureEnd, runEnd int64 // bounds of the measured time, and the end of the run, in ns
 	totals                          callStats
 	seconds                         []experiment.Second
 	control                         control
@@ -85,7 +88,7 @@
 	err                             error
 }
 
-// Run plays an experiment. It ends soon after ctx does, with ctx's error.
+// Run runs an experiment. It returns the error of ctx soon after ctx ends.
 func Run(ctx context.Context, e *experiment.Experiment, progress experiment.Progress) (*experiment.Result, error) {
 	started, heapBefore := time.Now(), liveHeap()
 	f, err := newFleet(e)
@@ -110,7 +113,7 @@
 		return nil, err
 	}
 	if e.Duration <= 0 || e.Warmup < 0 {
-		return nil, fmt.Errorf("%w: its duration is %v after %v", errInvalid, time.Duration(e.Duration),
+		return nil, fmt.Errorf("%w: duration %v, warmup %v", errInvalid, time.Duration(e.Duration),
 			time.Duration(e.Warmup))
 	}
 	maxTimeout := time.Duration(0)
@@ -142,7 +145,7 @@
 	return f, f.err
 }
 
-// play runs the events up to the end, or until ctx ends.
+// runEvents handles events until the end of the run or until ctx ends.
 func (f *fleet) runEvents(ctx context.Context, progress experiment.Progress) error {
 	lastProgress, lastCheck := time.Now(), int64(-1)
 	for n := 1; len(f.heap) > 0 && f.heap[0].at <= f.runEnd && f.err == nil; n++ {
@@ -157,7 +160,7 @@
 		}
 		if n%stallCheckInterval == 0 {
 			if f.now == lastCheck {
-				return fmt.Errorf("fleet: time stands still at %v", time.Duration(f.now))
+				return fmt.Errorf("fleet: virtual time does not advance beyond %v", time.Duration(f.now))
 			}
 			lastCheck = f.now
 		}
@@ -236,16 +239,16 @@
 	}
 }
 
-// What a module holds, in bytes: see TestEstimate.
+// Memory use in bytes, checked by TestEstimate.
 const (
-	bytesPerServer     = 900  // each endpoint that it knows
-	bytesPerTier       = 6000 // besides
+	bytesPerServer     = 900  // for each endpoint that a tier knows
+	bytesPerTier       = 6000 // for each tier, without its endpoints
 	bytesPerService    = 80000
-	bytesPerCall       = 600 // open, with its attempts and events
-	bytesPerRecentCall = 16  // taken in the module's windows
+	bytesPerCall       = 600 // for each open call with its attempts and events
+	bytesPerRecentCall = 16  // for each recent call in the windows of the module
 )
 
-// Estimate is how much memory a run needs, in bytes; 0 if the experiment cannot be played.
+// Estimate returns the memory that a run needs in bytes, or 0 if the experiment is invalid.
 func Estimate(e *experiment.Experiment) (bytes int64) {
 	services, err := planServices(e)
 	if err != nil {
@@ -266,10 +269,10 @@
 		bytes += int64(simulatedRate * (maxTimeout*bytesPerCall + 10*bytesPerRecentCall))
 	}
 	bytes += int64(seconds(e.Duration)) * int64(unsafe.Sizeof(experiment.Second{}))
-	for _, fault := range e.Faults { // each change stays in its list; a replacement is three of them
+	for _, fault := range e.Faults { // each change stays in the change log; a replacement makes three changes
 		bytes += int64(fault.Count) * int64(unsafe.Sizeof(change{})+unsafe.Sizeof(pendingChange{})) * int64(max(len(services), 3))
 	}
-	return bytes * 2 // what the collector has not taken back yet
+	return bytes * 2 // twice the live heap, for garbage that has not been collected yet
 }
 
 func version() string {
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -14,37 +14,37 @@
 	"forkline/internal/experiment"
 )
 
-// service is one service of the graph with what follows from the whole of it.
+// service is one service of the call graph with its state and the values derived from the graph.
 type service struct {
 	experiment.Service
-	firstEndpoint            int32   // its endpoints stand together from this one on
-	frontSidecars            []int32 // processes at its front
-	tiers                    []int32 // all modules that balance for it
-	callees                  []int32 // services it calls, in the order of the modules of each of its processes
+	firstEndpoint            int32   // its endpoints are contiguous from this index
+	frontSidecars            []int32 // indexes of its front sidecars
+	tiers                    []int32 // all modules that balance for it, in the order of their ranks
+	callees                  []int32 // services that it calls, in the order of the modules of each of its sidecars
 	calls                    []callSpec
-	depth                    int     // longest way from a front
-	height                   int     // longest way to a service that calls none
-	totalRate                float64 // calls a second that all its callers together make
-	simulatedShare           float64 // of them that are played
-	startRate                rate    // requests that its endpoints began
-	endpointsUp              int     // endpoints that are up
+	depth                    int     // longest path in the call graph to it
+	height                   int     // longest path in the call graph from it
+	totalRate                float64 // calls per second of all its callers, including those that are not simulated
+	simulatedShare           float64 // share of them that is simulated
+	startRate                rate    // rate at which its endpoints start requests
+	endpointsUp              int     // number of endpoints that are up
 	clientRand               randSource
-	rateFactor               float64 // of the clients' rate, by bursts
-	arrivalGen               uint16  // generation of the pending arrival
+	rateFactor               float64 // factor of the client rate, changed by bursts
+	arrivalGen               uint16  // generation of the pending client call
 	initialList, currentList []forkline.ServerEntry
-	changeLog                []change // what discovery knows, the version is the number of changes
+	changeLog                []change // changes that discovery knows; their number is the version of the list
 	stats                    callStats
 	coldCrashes              int
 	worstColdRatio           float64
 }
 
-// callSpec is one edge of the call graph: so many calls are played for each request that is played.
+// callSpec is one edge of the call graph.
 type callSpec struct {
-	tier           int // number among the modules of the process
-	timesSimulated float64
+	tier           int     // index among the modules of the sidecar
+	timesSimulated float64 // simulated calls for each simulated request of the caller
 }
 
-// rate is calls a second, smoothed over a second.
+// rate is an exponential moving average of events per second with a time constant of 1 s.
 type rate struct {
 	perSecond float64
 	at        int64
@@ -57,9 +57,9 @@
 
 func (r *rate) value(now int64) float64 { return r.perSecond * math.Exp(float64(r.at-now)/1e9) }
 
-var errInvalid = errors.New("fleet: the experiment cannot be played")
+var errInvalid = errors.New("fleet: invalid experiment")
 
-// plan works out the graph: who calls whom, how deep, and how often.
+// planServices computes the call graph: the callees, depths and rates of all services.
 func planServices(e *experiment.Experiment) ([]service, error) {
 	services := make([]service, len(e.Services))
 	number := make(map[string]int, len(services))
@@ -67,13 +67,14 @@
 		if s.SimulatedShare == 0 {
 			s.SimulatedShare = 1
 		}
-		if s.Endpoints < 1 || !(s.Cores > 0) || s.MeanWork <= 0 || s.Slots < 1 || s.SimulatedShare < 0 || s.SimulatedShare > 1 || s.ClientRate < 0 {
-			return nil, fmt.Errorf("%w: service %q: endpoints, cores, work, slots or thin", errInvalid, s.Name)
+		if s.Endpoints < 1 || !(s.Cores > 0) || s.MeanWork <= 0 || s.Slots < 1 || s.SimulatedShare < 0 || s.SimulatedShare > 1 ||
+			s.ClientRate < 0 {
+			return nil, fmt.Errorf("%w: service %q: invalid endpoints, cores, work, slots, thin or rate", errInvalid, s.Name)
 		}
 		services[i] = service{Service: s, rateFactor: 1}
 		number[s.Name] = i
 	}
-	calledBy := make([]int, len(services)) // callers not yet ranked
+	calledBy := make([]int, len(services)) // number of callers that are not in order yet
 	for i := range services {
 		s := &services[i]
 		for _, c := range s.Calls {
@@ -126,7 +127,7 @@
 		}
 	}
 	if len(order) < len(services) {
-		return nil, fmt.Errorf("%w: services call each other in a ring", errInvalid)
+		return nil, fmt.Errorf("%w: the call graph has a cycle", errInvalid)
 	}
 	for k := len(order) - 1; k >= 0; k-- {
 		s := &services[order[k]]
@@ -137,7 +138,7 @@
 	return services, nil
 }
 
-// settings are those of one module.
+// moduleSettings returns the settings of one module.
 func (f *fleet) moduleSettings(s *service, front bool, rank int, loc location) forkline.Settings {
 	cfg := &f.exp.Sidecar
 	settings := forkline.Settings{
@@ -148,8 +149,8 @@
 		},
 		Safety: forkline.Safety{
 			AnswerSlack: toMillis(toNanos(answerSlack)), DrainGrace: toMillis(int64(cfg.DrainGrace)), ColdCapacity: cfg.ColdCapacity,
-			RampTime: toMillis(int64(cfg.RampTime)), OverloadMultiple: cfg.OverloadMultiple, OverloadWindow: toMillis(int64(cfg.OverloadWindow)),
-			PollInterval: toMillis(int64(cfg.PollInterval)),
+			RampTime: toMillis(int64(cfg.RampTime)), OverloadMultiple: cfg.OverloadMultiple,
+			OverloadWindow: toMillis(int64(cfg.OverloadWindow)), PollInterval: toMillis(int64(cfg.PollInterval)),
 		},
 	}
 	settings.Stages = s.height + 1
@@ -166,20 +167,22 @@
 	for _, c := range classes {
 		effect, ok := effects[c.Effect]
 		if !ok {
-			return nil, fmt.Errorf("%w: class %q: effect %q", errInvalid, c.Name, c.Effect)
+			return nil, fmt.Errorf("%w: class %q: unknown effect %q", errInvalid, c.Name, c.Effect)
 		}
 		m := forkline.Class{
-			Name: c.Name, Value: c.Value, TargetLatency: toMillis(int64(c.TargetLatency)), Timeout: toMillis(int64(c.Timeout)), Effect: effect,
+			Name: c.Name, Value: c.Value, TargetLatency: toMillis(int64(c.TargetLatency)), Timeout: toMillis(int64(c.Timeout)),
+			Effect: effect,
 		}
 		if effect == forkline.Keyed {
-			m.DedupWindow = m.Timeout // all endpoints of a service remember a key for as long as its call may last
+			m.DedupWindow = m.Timeout // all endpoints of a service remember a key for as long as its call can last
 		}
 		all = append(all, m)
 	}
 	return all, nil
 }
 
-// build lays the fleet out: endpoints and front sidecars are dealt out over the zones, and over the racks of each.
+// buildTopology creates the endpoints and sidecars. Endpoints and front sidecars are distributed round-robin over the zones,
+// and over the racks of each zone.
 func (f *fleet) buildTopology() error {
 	e := f.exp
 	var zones []location
@@ -202,10 +205,10 @@
 	}
 	placedInZone := make([]int, len(zones))
 	nextLocation := func(n int) location {
-		p := zones[n%len(zones)]
-		p.rack = uint16(placedInZone[p.zone] % racks[p.zone])
-		placedInZone[p.zone]++
-		return p
+		loc := zones[n%len(zones)]
+		loc.rack = uint16(placedInZone[loc.zone] % racks[loc.zone])
+		placedInZone[loc.zone]++
+		return loc
 	}
 	nextIndex := 0
 	for i := range f.services {
@@ -240,7 +243,8 @@
 	for i := range f.services {
 		clear(perZone)
 		tiers := f.services[i].tiers
-		for _, t := range tiers { // zone by zone in turn, as the module deals servers out; unequal zones shift that
+		// Ranks alternate between the zones, as the module assigns servers; unequal zones shift the pattern.
+		for _, t := range tiers {
 			zone := f.sidecars[f.tiers[t].sidecar].zone
 			f.tiers[t].rank = int32(perZone[zone]*len(zones) + int(zone))
 			perZone[zone]++
@@ -257,9 +261,9 @@
 
 func (f *fleet) addSidecar(loc location, endpoint int32, callees []int32) int32 {
 	id := int32(len(f.sidecars))
-	p := sidecar{location: loc, endpoint: endpoint, firstTier: int32(len(f.tiers)), endTier: int32(len(f.tiers) + len(callees)),
+	sc := sidecar{location: loc, endpoint: endpoint, firstTier: int32(len(f.tiers)), endTier: int32(len(f.tiers) + len(callees)),
 		randSource: newRandSource(f.exp.Seed, actorSidecar, int(id))}
-	f.sidecars = append(f.sidecars, p)
+	f.sidecars = append(f.sidecars, sc)
 	for _, s := range callees {
 		f.services[s].tiers = append(f.services[s].tiers, int32(len(f.tiers)))
 		f.tiers = append(f.tiers, tier{sidecar: id, service: s})
@@ -267,32 +271,33 @@
 	return id
 }
 
-// entry is what discovery tells of an endpoint. A successor has an id of its own, so ids tell the endpoint by
-// remainder and its generation by quotient.
+// serverEntry returns the list entry of an endpoint. Each successor has its own server id: the id modulo the number of
+// endpoints is the endpoint, the quotient is its generation.
 func (f *fleet) serverEntry(e int32, state forkline.ServerState) forkline.ServerEntry {
-	p := &f.endpoints[e]
+	ep := &f.endpoints[e]
 	started := 0.0
-	if p.startedAt > 0 {
-		started = toMillis(p.startedAt)
+	if ep.startedAt > 0 {
+		started = toMillis(ep.startedAt)
 	}
 	return forkline.ServerEntry{
-		Server: uint32(e) + uint32(p.gen)*uint32(len(f.endpoints)), Zone: p.zone, State: state, Weight: 1, Started: started,
+		Server: uint32(e) + uint32(ep.gen)*uint32(len(f.endpoints)), Zone: ep.zone, State: state, Weight: 1, Started: started,
 	}
 }
 
-// find is the endpoint that an id names; current is false if it has been replaced.
+// findEndpoint returns the endpoint of a server id. current is false if another generation of it is running now.
 func (f *fleet) findEndpoint(server uint32) (e int32, current bool) {
 	n := uint32(len(f.endpoints))
 	e = int32(server % n)
 	return e, uint32(f.endpoints[e].gen) == server/n
 }
 
-// targets tells what stands at a place: a zone is "region/zone" by numbers, a rack "region/zone/rack".
+// locationFilter returns a function that reports whether a location is in the target, which has the form "region/zone" or
+// "region/zone/rack", all numbers.
 func (f *fleet) locationFilter(kind, target string) (func(location) bool, error) {
 	parts := strings.Split(target, "/")
 	var numbers []int
-	for _, p := range parts {
-		if v, err := strconv.Atoi(p); err == nil && v >= 0 {
+	for _, part := range parts {
+		if v, err := strconv.Atoi(part); err == nil && v >= 0 {
 			numbers = append(numbers, v)
 		}
 	}
@@ -300,12 +305,13 @@
 	if kind == "rack" {
 		wantParts = 3
 	}
-	if len(numbers) != len(parts) || len(numbers) != wantParts || numbers[0] >= len(f.zoneFrom) || numbers[1] >= max(f.exp.Regions[numbers[0]].Zones, 1) ||
+	if len(numbers) != len(parts) || len(numbers) != wantParts || numbers[0] >= len(f.zoneFrom) ||
+		numbers[1] >= max(f.exp.Regions[numbers[0]].Zones, 1) ||
 		wantParts == 3 && numbers[2] >= f.racks[f.zoneFrom[numbers[0]]] {
-		return nil, fmt.Errorf("%w: no %s is %q", errInvalid, kind, target)
+		return nil, fmt.Errorf("%w: there is no %s %q", errInvalid, kind, target)
 	}
 	zone := uint8(f.zoneFrom[numbers[0]] + numbers[1])
-	return func(p location) bool { return p.zone == zone && (wantParts == 2 || int(p.rack) == numbers[2]) }, nil
+	return func(loc location) bool { return loc.zone == zone && (wantParts == 2 || int(loc.rack) == numbers[2]) }, nil
 }
 
 func (f *fleet) regionNumber(target string) (int, error) {
@@ -314,10 +320,10 @@
 			return i, nil
 		}
 	}
-	return 0, fmt.Errorf("%w: no region is %q", errInvalid, target)
+	return 0, fmt.Errorf("%w: there is no region %q", errInvalid, target)
 }
 
-// serviceNamed is -1 for "", which stands for any or all.
+// serviceByName returns the index of a service, or -1 for "", which means any or all.
 func (f *fleet) serviceByName(name string) (int, error) {
 	if name == "" {
 		return -1, nil
@@ -327,7 +333,7 @@
 			return i, nil
 		}
 	}
-	return 0, fmt.Errorf("%w: no service is %q", errInvalid, name)
+	return 0, fmt.Errorf("%w: there is no service %q", errInvalid, name)
 }
 
 func seconds(d experiment.Duration) float64 { return time.Duration(d).Seconds() }
