--- a/internal/fleet/full_test.go
+++ b/internal/fleet/full_test.go
@@ -8,18 +8,18 @@
 	"forkline/internal/experiment"
 )
 
-// full is the whole size: 98 services in 24 tiers, 2,800 hollow sidecars, 4 regions with 11 zones. Two services take
-// their clients' calls in full, the rest are thinned.
+// fullSizeExperiment returns an experiment with 98 services in 24 tiers, 2,800 hollow sidecars and 4 regions with 11 zones.
+// Two services simulate all of their clients' calls, the others a share.
 func fullSizeExperiment() *experiment.Experiment {
 	e := smallExperiment()
 	e.Name = "full"
 	e.Regions = []experiment.Region{{Name: "a", Zones: 3, Racks: 8}, {Name: "b", Zones: 3, Racks: 8},
 		{Name: "c", Zones: 3, Racks: 8}, {Name: "d", Zones: 2, Racks: 8}}
-	e.Network.BetweenRegions = duration(5 * time.Millisecond)
+	e.Network.BetweenRegions = dur(5 * time.Millisecond)
 	e.Discovery.Instances = 4
 	e.Classes = nil
 	for _, c := range smallExperiment().Classes {
-		c.TargetLatency, c.Timeout = duration(2*time.Second), duration(5*time.Second)
+		c.TargetLatency, c.Timeout = dur(2*time.Second), dur(5*time.Second)
 		e.Classes = append(e.Classes, c)
 	}
 	e.Services = nil
@@ -29,7 +29,7 @@
 		if i >= 92 {
 			tier, place = 23, i-92
 		}
-		s := experiment.Service{Name: fmt.Sprintf("s%02d", i), Endpoints: 26, Cores: 4, MeanWork: duration(5 * time.Millisecond),
+		s := experiment.Service{Name: fmt.Sprintf("s%02d", i), Endpoints: 26, Cores: 4, MeanWork: dur(5 * time.Millisecond),
 			Slots: 128, SimulatedShare: 0.05}
 		if tier < 23 {
 			next := 4 * (tier + 1)
@@ -43,8 +43,9 @@
 		}
 		e.Services = append(e.Services, s)
 	}
-	e.Services[0].SimulatedShare, e.Services[1].SimulatedShare = 1, 1 // in full
-	for i := range e.Services {                                       // 2,800 sidecars: 400 at the front, 92 services with callers
+	e.Services[0].SimulatedShare, e.Services[1].SimulatedShare = 1, 1 // all calls are simulated
+	// 2,800 sidecars: 400 front sidecars, and one for each endpoint of the 92 services that call others.
+	for i := range e.Services {
 		if i < 8 {
 			e.Services[i].Endpoints = 27
 		}
@@ -57,7 +58,7 @@
 		t.Skip("2,800 hollow sidecars")
 	}
 	e := fullSizeExperiment()
-	e.Warmup, e.Duration = duration(4*time.Second), duration(time.Second)
+	e.Warmup, e.Duration = dur(4*time.Second), dur(time.Second)
 	r := runExperiment(t, e)
 	r.Series, r.Services, r.SimulatedShares = nil, nil, nil
 	logResult(t, r)
@@ -69,15 +70,16 @@
 	}
 }
 
-// BenchmarkFullSize plays a minute at the whole size, with the loss of a zone and an outage of discovery.
+// BenchmarkFullSize simulates one minute of the full-size fleet with the loss of a zone, an outage of discovery and a wave of
+// restarts.
 func BenchmarkFullSize(b *testing.B) {
 	for b.Loop() {
 		e := fullSizeExperiment()
-		e.Duration = duration(60 * time.Second)
+		e.Duration = dur(60 * time.Second)
 		e.Faults = []experiment.Fault{
-			{Kind: "zone", At: duration(10 * time.Second), Duration: duration(8 * time.Second), Target: "1/1"},
-			{Kind: "down", At: duration(30 * time.Second), Duration: duration(8 * time.Second)},
-			{Kind: "restart", At: duration(42 * time.Second), Duration: duration(10 * time.Second), Count: 280},
+			{Kind: "zone", At: dur(10 * time.Second), Duration: dur(8 * time.Second), Target: "1/1"},
+			{Kind: "down", At: dur(30 * time.Second), Duration: dur(8 * time.Second)},
+			{Kind: "restart", At: dur(42 * time.Second), Duration: dur(10 * time.Second), Count: 280},
 		}
 		r := runExperiment(b, e)
 		r.Series, r.Services, r.SimulatedShares = nil, nil, nil
--- a/internal/fleet/stand_in_test.go
+++ b/internal/fleet/stand_in_test.go
@@ -10,7 +10,7 @@
 	"forkline/internal/experiment"
 )
 
-// built is a fleet before its first event, with the given changes to the small one.
+// newTestFleet returns a fleet before its first event. Its experiment is smallExperiment after change.
 func newTestFleet(t *testing.T, change func(*experiment.Experiment)) *fleet {
 	t.Helper()
 	e := smallExperiment()
@@ -22,7 +22,7 @@
 	return f
 }
 
-// until plays a fleet up to a virtual time.
+// runUntil handles all events up to a virtual time.
 func (f *fleet) runUntil(at time.Duration) {
 	for len(f.heap) > 0 && f.heap[0].at <= int64(at) {
 		ev := f.pop()
@@ -32,7 +32,7 @@
 	f.now = int64(at)
 }
 
-// countdown is a context that ends when it has been looked at so often.
+// countdown is a context that ends after a number of calls of Err.
 type countdown struct {
 	context.Context
 	remaining int
@@ -47,14 +47,15 @@
 
 func TestRunChecksContextWhileRunning(t *testing.T) {
 	e := smallExperiment()
-	e.Duration = duration(time.Hour)
+	e.Duration = dur(time.Hour)
 	ctx := &countdown{context.Background(), 3}
 	if _, err := Run(ctx, e, nil); !errors.Is(err, context.DeadlineExceeded) {
-		t.Errorf("an hour was played, or failed otherwise: %v", err)
+		t.Errorf("the run did not end with the context: %v", err)
 	}
 }
 
-// TestBrokenRulesAreCounted has the host do what the module does not.
+// TestViolationsAreCounted makes the simulated sidecar do what the module never does: send an unsafe call twice, answer a
+// call twice and send to a draining endpoint after the grace.
 func TestViolationsAreCounted(t *testing.T) {
 	f := newTestFleet(t, func(e *experiment.Experiment) { e.Services[0].ClientRate = 0 })
 	f.runUntil(10 * time.Second)
@@ -65,7 +66,8 @@
 	}
 	c := startCall(2)
 	server := f.attempts[f.calls[c].attempts[0]].server
-	f.sendAttempt(front, &forkline.Action{Kind: forkline.ActSend, Request: f.requestID(c), Server: server, Deadline: toMillis(f.now) + 1000})
+	f.sendAttempt(front, &forkline.Action{Kind: forkline.ActSend, Request: f.requestID(c), Server: server,
+		Deadline: toMillis(f.now) + 1000})
 	f.runUntil(11 * time.Second)
 	if f.violations.UnsafeRepeats != 1 {
 		t.Errorf("an unsafe call sent twice: %+v", f.violations)
@@ -77,7 +79,7 @@
 
 	drained, _ := f.findEndpoint(server)
 	f.schedule(f.now, evDrainBegins, drained, f.endpoints[drained].gen, 0)
-	f.runUntil(11*time.Second + 500*time.Millisecond) // told after 0.3 s; the grace is 0.75 s
+	f.runUntil(11*time.Second + 500*time.Millisecond) // the sidecar is notified after 0.3 s; the grace is 0.75 s
 	c = startCall(0)
 	action := &forkline.Action{Kind: forkline.ActSend, Request: f.requestID(c), Server: server, Deadline: toMillis(f.now) + 1000}
 	f.sendAttempt(front, action)
@@ -92,7 +94,7 @@
 		t.Errorf("a send past the grace: %+v", f.violations)
 	}
 
-	// Discovery knew of the drain at 11.3 s. It has been replaced since; what was not told counts as told at 17.3 s.
+	// Discovery learned of the drain at 11.3 s, and the endpoint has been replaced since. Sidecars count as notified at 17.3 s.
 	for second, violations := range []int64{1, 2} {
 		f.runUntil(17800*time.Millisecond + time.Duration(second)*time.Second)
 		if f.endpoints[drained].gen != 1 {
@@ -109,24 +111,25 @@
 
 func TestColdEndpointsCrashUnderTightLimits(t *testing.T) {
 	e := smallExperiment()
-	e.Duration = duration(30 * time.Second)
-	e.Faults = []experiment.Fault{{Kind: "restart", At: duration(time.Second), Duration: duration(8 * time.Second), Target: "front", Count: 6}}
+	e.Duration = dur(30 * time.Second)
+	e.Faults = []experiment.Fault{{Kind: "restart", At: dur(time.Second), Duration: dur(8 * time.Second),
+		Target: "front", Count: 6}}
 	if r := runExperiment(t, e); r.Violations.ColdCrashes != 0 || r.Services[0].WorstColdRatio <= 0 {
-		t.Errorf("with three times its capacity allowed: %+v, worst %v", r.Violations, r.Services[0].WorstColdRatio)
+		t.Errorf("with an overload multiple of 3: %+v, worst %v", r.Violations, r.Services[0].WorstColdRatio)
 	}
 	e.Services[0].ClientRate, e.Sidecar.OverloadMultiple = 600, 0.01
 	if r := runExperiment(t, e); r.Violations.ColdCrashes == 0 {
-		t.Errorf("with a hundredth allowed: %+v, worst %v", r.Violations, r.Services[0].WorstColdRatio)
+		t.Errorf("with an overload multiple of 0.01: %+v, worst %v", r.Violations, r.Services[0].WorstColdRatio)
 	}
 }
 
-// TestDiscoveryHandlesCallsInTurn: twenty sidecars lose their watches and ask again; a slow instance refuses those that
-// wait too long for their turn, and all are answered in the end.
+// TestDiscoveryQueuesAndRefusesCalls: twenty sidecars lose their watches and call discovery again. A slow instance refuses
+// the calls that wait too long in its queue, and all sidecars are answered in the end.
 func TestDiscoveryQueuesAndRefusesCalls(t *testing.T) {
 	e := smallExperiment()
-	e.Duration = duration(60 * time.Second)
-	e.Discovery.Instances, e.Discovery.CallTime, e.Discovery.MaxQueueTime = 1, duration(400*time.Millisecond), duration(time.Second)
-	e.Faults = []experiment.Fault{{Kind: "down", At: duration(time.Second), Duration: duration(time.Second)}}
+	e.Duration = dur(60 * time.Second)
+	e.Discovery.Instances, e.Discovery.CallTime, e.Discovery.MaxQueueTime = 1, dur(400*time.Millisecond), dur(time.Second)
+	e.Faults = []experiment.Fault{{Kind: "down", At: dur(time.Second), Duration: dur(time.Second)}}
 	r := runExperiment(t, e)
 	if c := r.Control; c.RefusedCalls == 0 || c.PeakQueue < 2 || c.PeakQueue > 4 || c.ResyncMax <= 0 {
 		t.Errorf("%+v", c)
@@ -136,14 +139,14 @@
 	}
 }
 
-// TestASplitRegionCatchesUp: what changes while a region is split off is told there once it is back.
+// TestSplitRegionCatchesUp: changes during a split reach the sidecars of the region after the split.
 func TestSplitRegionCatchesUp(t *testing.T) {
 	for _, pushed := range []bool{false, true} {
 		f := newTestFleet(t, func(e *experiment.Experiment) {
 			e.Discovery.Pushed = pushed
 			e.Faults = []experiment.Fault{
-				{Kind: "split", At: 0, Duration: duration(2 * time.Second), Target: "south"},
-				{Kind: "machine", At: duration(500 * time.Millisecond), Duration: duration(20 * time.Second), Target: "store", Count: 2},
+				{Kind: "split", At: 0, Duration: dur(2 * time.Second), Target: "south"},
+				{Kind: "machine", At: dur(500 * time.Millisecond), Duration: dur(20 * time.Second), Target: "store", Count: 2},
 			}
 		})
 		behind := func() (n int) {
@@ -156,7 +159,7 @@
 		}
 		f.runUntil(11500 * time.Millisecond) // warm-up is 10 s
 		if n := behind(); n == 0 {
-			t.Errorf("pushed %v: the split region knows all", pushed)
+			t.Errorf("pushed %v: all modules have the latest list during the split", pushed)
 		}
 		f.runUntil(20 * time.Second)
 		if n := behind(); n != 0 {
@@ -168,7 +171,7 @@
 func TestWatchesDeliverChangesInOrder(t *testing.T) {
 	e := smallExperiment()
 	e.Network.LossRate = 0.2
-	e.Faults = []experiment.Fault{{Kind: "changes", At: 0, Duration: duration(5 * time.Second), Count: 300}}
+	e.Faults = []experiment.Fault{{Kind: "changes", At: 0, Duration: dur(5 * time.Second), Count: 300}}
 	r := runExperiment(t, e)
 	if r.Control.UnpropagatedChanges != 0 || r.Control.PropagationMax <= 300 {
 		t.Errorf("%+v", r.Control)
@@ -185,8 +188,8 @@
 		f.runUntil(5 * time.Second)
 		used, estimated := liveHeap()-before, Estimate(e)
 		if len(f.sidecars) == 0 || estimated < used || estimated > 8*used {
-			t.Errorf("%s: %d KB are held, %d KB were told", e.Name, used>>10, estimated>>10)
+			t.Errorf("%s: %d KB in use, estimated %d KB", e.Name, used>>10, estimated>>10)
 		}
-		t.Logf("%s: %d KB are held, %d KB were told", e.Name, used>>10, estimated>>10)
+		t.Logf("%s: %d KB in use, estimated %d KB", e.Name, used>>10, estimated>>10)
 	}
 }
