--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -45,19 +45,19 @@
 
 // options holds the commands and flags; kong derives their names from the names of the fields.
 type options struct {
-	LogFormat string `enum:"text,json" default:"text" help:"Format of the log on standard error: ${enum}."`
-	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Minimum level that is logged: ${enum}."`
+	LogFormat string `enum:"text,json" default:"text" help:"Form of the log on standard error: ${enum}."`
+	LogLevel  string `enum:"debug,info,warn,error" default:"info" help:"Least level that is logged: ${enum}."`
 	Quiet     bool   `short:"q" help:"Log errors only and show no progress."`
 
 	Run struct {
 		Files []string `arg:"" name:"file" help:"Experiments, in TOML."`
-		Seeds []uint64 `placeholder:"1,2,3" help:"Run each experiment with each of these seeds instead of its own."`
+		Seeds []uint64 `placeholder:"1,2,3" help:"Play each experiment with each of these seeds, not its own."`
 		Out   string   `short:"o" placeholder:"FILE" help:"Write results as JSON lines; - is standard output."`
 		Table string   `short:"t" placeholder:"FILE" help:"Write results as Markdown tables; - is standard output, and the default without --out."`
-	} `cmd:"" help:"Run experiments."`
+	} `cmd:"" help:"Play experiments."`
 	Check struct {
 		Files []string `arg:"" name:"file" help:"Experiments, in TOML."`
-	} `cmd:"" help:"Check experiments and print their size without running them."`
+	} `cmd:"" help:"Check experiments and tell their size; play nothing."`
 	Example struct{} `cmd:"" help:"Print a valid experiment that explains every key and names its default."`
 	Version struct{} `cmd:"" help:"Print the version."`
 }
