--- a/internal/fleet/client.go
+++ b/internal/fleet/client.go
@@ -6,54 +6,54 @@
 	"forkline/internal/experiment"
 )
 
-// frontNotices is how long clients are still led to a front sidecar that is down.
-const frontNotices = 2 * time.Second
+// frontFailureDelay is the time for which clients are still routed to a front sidecar that has gone down.
+const frontFailureDelay = 2 * time.Second
 
-// schedule draws when the next client of a service calls. Clients are many: they call at random, whether or not they are
-// served, and do not come again.
-func (f *fleet) schedule(id int32) {
+// scheduleClientCall draws the time of the next client call of a service. Clients are an open population: they call at
+// random times whether or not earlier calls are served, and do not retry.
+func (f *fleet) scheduleClientCall(id int32) {
 	s := &f.services[id]
-	perSecond := s.Rate * s.Thin * s.factor
-	if len(s.fronts) == 0 || !(perSecond > 0) {
+	perSecond := s.ClientRate * s.SimulatedShare * s.rateFactor
+	if len(s.frontSidecars) == 0 || !(perSecond > 0) {
 		return
 	}
-	f.at(f.now+int64(s.clients.exp()/perSecond*1e9), evArrive, id, s.arrivals, 0)
+	f.schedule(f.now+int64(s.clientRand.exp()/perSecond*1e9), evClientCall, id, s.arrivalGen, 0)
 }
 
-// arrive is a client's call, at one of the front sidecars of its service.
-func (f *fleet) arrive(ev *event) {
+// clientCall starts the call of a client at one of the front sidecars of its service.
+func (f *fleet) clientCall(ev *event) {
 	s := &f.services[ev.id]
-	if ev.gen != s.arrivals || f.now >= f.end {
+	if ev.gen != s.arrivalGen || f.now >= f.measureEnd {
 		return
 	}
-	f.schedule(ev.id)
-	class, at := uint16(0), s.clients.float()*f.shares
+	f.scheduleClientCall(ev.id)
+	class, draw := uint16(0), s.clientRand.uniform()*f.shareSum
 	for i := range f.exp.Classes {
-		if class = uint16(i); at < f.exp.Classes[i].Share {
+		if class = uint16(i); draw < f.exp.Classes[i].Share {
 			break
 		}
-		at -= f.exp.Classes[i].Share
+		draw -= f.exp.Classes[i].Share
 	}
-	first := s.clients.below(len(s.fronts))
-	for i := range s.fronts {
-		p := &f.processes[s.fronts[(first+i)%len(s.fronts)]]
-		if p.up {
-			f.take(p.tierFrom, class, f.now+int64(f.exp.Classes[class].GiveUp), -1)
+	first := s.clientRand.intn(len(s.frontSidecars))
+	for i := range s.frontSidecars {
+		sc := &f.sidecars[s.frontSidecars[(first+i)%len(s.frontSidecars)]]
+		if sc.up {
+			f.startCall(sc.firstTier, class, f.now+int64(f.exp.Classes[class].Timeout), -1)
 			return
 		}
-		if f.now < p.downAt+ns(frontNotices) {
+		if f.now < sc.downAt+toNanos(frontFailureDelay) {
 			break
 		}
 	}
-	f.unanswered(ev.id)
+	f.countNoSidecar(ev.id)
 }
 
-// quicken changes the rate of a service's clients; what they would have done is drawn anew.
-func (f *fleet) quicken(id int32, factor float64) {
+// scaleClientRate multiplies the rate of a service's client calls and draws the time of the next one again.
+func (f *fleet) scaleClientRate(id int32, factor float64) {
 	s := &f.services[id]
-	s.factor *= factor
-	s.arrivals++
-	f.schedule(id)
+	s.rateFactor *= factor
+	s.arrivalGen++
+	f.scheduleClientCall(id)
 }
 
 func sumShares(classes []experiment.Class) float64 {
--- a/internal/fleet/measure.go
+++ b/internal/fleet/measure.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	longestTime  = int64(10 * time.Minute / time.Microsecond) // that a histogram holds; longer ones count as this
-	digits       = 2                                          // that histograms keep
-	sampleEvery  = 16                                         // of the module's events that are no lists, one is timed
-	beforeFault  = 10                                         // seconds that tell how calls were served before a fault
-	asBeforeLess = 0.01                                       // part of calls that may be missing then
+	maxRecordedMicros   = int64(10 * time.Minute / time.Microsecond) // maximum of histograms; longer times count as this
+	histogramDigits     = 2                                          // significant decimal digits of histograms
+	meterSampleInterval = 16                                         // one in this number of module events without lists is timed
+	baselineSeconds     = 10                                         // seconds before a fault that define its baseline
+	recoveryTolerance   = 0.01                                       // share of calls by which recovery may miss the baseline
 )
 
-// callStats are those of one scope.
+// callStats holds the counts and latencies of the calls of one scope.
 type callStats struct {
 	experiment.Calls
 	latency, added *hdrhistogram.Histogram // microseconds
 }
 
 func (c *callStats) init() {
-	c.latency = hdrhistogram.New(1, longestTime, digits)
-	c.added = hdrhistogram.New(1, longestTime, digits)
+	c.latency = hdrhistogram.New(1, maxRecordedMicros, histogramDigits)
+	c.added = hdrhistogram.New(1, maxRecordedMicros, histogramDigits)
 }
 
-func record(h *hdrhistogram.Histogram, ns int64) {
-	_ = h.RecordValue(min(max(ns/1000, 0), longestTime)) // only values outside its range are refused
+func recordDuration(h *hdrhistogram.Histogram, ns int64) {
+	_ = h.RecordValue(min(max(ns/1000, 0), maxRecordedMicros)) // fails only for values outside the range
 }
 
 func quantile(h *hdrhistogram.Histogram, q float64) float64 {
@@ -47,38 +47,38 @@
 	return r
 }
 
-// measured tells whether a time is in the measured part of the run.
-func (f *fleet) measured(at int64) bool { return at >= f.from && at < f.end }
+// inMeasuredTime reports whether a time is in the measured part of the run.
+func (f *fleet) inMeasuredTime(at int64) bool { return at >= f.measureFrom && at < f.measureEnd }
 
-// second is the one that a time belongs to.
-func (f *fleet) second(at int64) *experiment.Second { return &f.seconds[(at-f.from)/1e9] }
+// secondAt returns the second of the series that contains a time.
+func (f *fleet) secondAt(at int64) *experiment.Second { return &f.seconds[(at-f.measureFrom)/1e9] }
 
-// asked counts a call that a sidecar took. A call counts for the second in which it came.
-func (f *fleet) asked(c *call) {
-	f.meter.taken++
+// countOffered counts a call that arrives at a sidecar. A call counts for the second of its arrival.
+func (f *fleet) countOffered(c *call) {
+	f.meter.calls++
 	if !c.measured {
 		return
 	}
-	f.services[f.tiers[c.tier].service].stats.Asked++
+	f.services[f.tiers[c.tier].service].stats.Offered++
 	if c.parent < 0 {
-		f.total.Asked++
-		f.second(c.arrived).Asked++
+		f.totals.Offered++
+		f.secondAt(c.arrivedAt).Offered++
 	}
 }
 
-func (f *fleet) ended(c *call, s status) {
+func (f *fleet) countEnd(c *call, s status) {
 	if !c.measured {
 		return
 	}
 	stats := &f.services[f.tiers[c.tier].service].stats
-	f.count(stats, c, s)
+	f.countEndIn(stats, c, s)
 	if c.parent >= 0 {
 		return
 	}
-	f.count(&f.total, c, s)
-	second := f.second(c.arrived)
+	f.countEndIn(&f.totals, c, s)
+	second := f.secondAt(c.arrivedAt)
 	switch {
-	case f.now > c.due:
+	case f.now > c.clientDeadline:
 		second.Late++
 	case s == served:
 		second.Served++
@@ -89,10 +89,10 @@
 	}
 }
 
-// count puts a call's end into a scope: any end after its client gave up is late.
-func (f *fleet) count(stats *callStats, c *call, s status) {
+// countEndIn counts the end of a call in one scope. Any end after the client's deadline is late.
+func (f *fleet) countEndIn(stats *callStats, c *call, s status) {
 	switch {
-	case f.now > c.due:
+	case f.now > c.clientDeadline:
 		stats.Late++
 	case s == refused:
 		stats.Refused++
@@ -100,170 +100,170 @@
 		stats.Failed++
 	default:
 		stats.Served++
-		if f.now-c.arrived <= int64(f.exp.Classes[c.class].Aim) {
+		if f.now-c.arrivedAt <= int64(f.exp.Classes[c.class].TargetLatency) {
 			stats.InTime++
 		}
-		record(stats.latency, f.now-c.arrived)
-		record(stats.added, c.wait)
+		recordDuration(stats.latency, f.now-c.arrivedAt)
+		recordDuration(stats.added, c.waitTime)
 	}
 }
 
-// unanswered is a client's call that finds no sidecar.
-func (f *fleet) unanswered(service int32) {
-	if !f.measured(f.now) {
+// countNoSidecar counts a client's call for which no front sidecar is up.
+func (f *fleet) countNoSidecar(service int32) {
+	if !f.inMeasuredTime(f.now) {
 		return
 	}
-	for _, stats := range [...]*callStats{&f.total, &f.services[service].stats} {
-		stats.Asked++
+	for _, stats := range [...]*callStats{&f.totals, &f.services[service].stats} {
+		stats.Offered++
 		stats.Failed++
 	}
-	f.second(f.now).Asked++
-	f.second(f.now).Failed++
+	f.secondAt(f.now).Offered++
+	f.secondAt(f.now).Failed++
 }
 
-func (f *fleet) sent(s *service, fresh bool) {
-	if !f.measured(f.now) {
+func (f *fleet) countAttempt(s *service, newConnection bool) {
+	if !f.inMeasuredTime(f.now) {
 		return
 	}
 	s.stats.Attempts++
-	f.total.Attempts++
-	if fresh {
+	f.totals.Attempts++
+	if newConnection {
 		s.stats.Connections++
-		f.total.Connections++
-		f.second(f.now).Connections++
+		f.totals.Connections++
+		f.secondAt(f.now).Connections++
 	}
 }
 
-// control counts the traffic for control, in the measured time.
+// control counts control traffic in the measured time.
 type control struct {
-	refusals      int64
-	busyFor       int64
-	peakQueue     int
-	out, discoOut int64 // bytes at sidecars and at discovery
-	spreads       *hdrhistogram.Histogram
+	refusedCalls                 int64
+	busyTime                     int64
+	peakQueue                    int
+	sidecarBytes, discoveryBytes int64 // bytes sent and received
+	propagation                  *hdrhistogram.Histogram
 }
 
-func (c *control) init() { c.spreads = hdrhistogram.New(1, longestTime, digits) }
+func (c *control) init() { c.propagation = hdrhistogram.New(1, maxRecordedMicros, histogramDigits) }
 
-func (c *control) called(f *fleet) {
-	if f.measured(f.now) {
-		f.second(f.now).ListCalls++
+func (c *control) countListCall(f *fleet) {
+	if f.inMeasuredTime(f.now) {
+		f.secondAt(f.now).ListCalls++
 	}
 }
 
-func (c *control) refused(f *fleet) {
-	if f.measured(f.now) {
-		c.refusals++
+func (c *control) countRefusal(f *fleet) {
+	if f.inMeasuredTime(f.now) {
+		c.refusedCalls++
 	}
 }
 
-func (c *control) changed(f *fleet) {
-	if f.measured(f.now) {
-		f.second(f.now).Changes++
+func (c *control) countChange(f *fleet) {
+	if f.inMeasuredTime(f.now) {
+		f.secondAt(f.now).Changes++
 	}
 }
 
-func (c *control) queued(f *fleet, n int) {
-	if f.measured(f.now) {
+func (c *control) recordQueue(f *fleet, n int) {
+	if f.inMeasuredTime(f.now) {
 		c.peakQueue = max(c.peakQueue, n)
 	}
 }
 
-func (c *control) busy(f *fleet, ns int64) {
-	if f.measured(f.now) {
-		c.busyFor += ns
+func (c *control) addBusyTime(f *fleet, ns int64) {
+	if f.inMeasuredTime(f.now) {
+		c.busyTime += ns
 	}
 }
 
-func (c *control) sidecar(f *fleet, n int) {
-	if f.measured(f.now) {
-		c.out += int64(n)
+func (c *control) addSidecarBytes(f *fleet, n int) {
+	if f.inMeasuredTime(f.now) {
+		c.sidecarBytes += int64(n)
 	}
 }
 
-func (c *control) bytes(f *fleet, n int) {
-	if f.measured(f.now) {
-		c.discoOut += int64(n)
+func (c *control) addDiscoveryBytes(f *fleet, n int) {
+	if f.inMeasuredTime(f.now) {
+		c.discoveryBytes += int64(n)
 	}
 }
 
-func (c *control) both(f *fleet, n int) {
-	c.sidecar(f, n)
-	c.bytes(f, n)
+func (c *control) addBytes(f *fleet, n int) {
+	c.addSidecarBytes(f, n)
+	c.addDiscoveryBytes(f, n)
 }
 
-func (c *control) spread(f *fleet, ch *change) {
-	if f.measured(ch.made) {
-		record(c.spreads, f.now-ch.made)
+func (c *control) recordPropagation(f *fleet, ch *change) {
+	if f.inMeasuredTime(ch.madeAt) {
+		recordDuration(c.propagation, f.now-ch.madeAt)
 	}
 }
 
-// meter takes the module's processor time, by the clock on the wall: what else the machine does then counts as well.
+// meter measures the module's processor time by wall-clock time, which includes what else the machine does meanwhile.
 type meter struct {
 	events, timed, lists int64
-	spent, listSpent     time.Duration
-	taken                int64
-	began                time.Time
+	eventTime, listTime  time.Duration
+	calls                int64
+	startedAt            time.Time
 }
 
-func (m *meter) begin(list bool) {
+func (m *meter) start(list bool) {
 	if !list {
 		m.events++
 	}
-	if list || m.events%sampleEvery == 0 {
-		m.began = time.Now()
+	if list || m.events%meterSampleInterval == 0 {
+		m.startedAt = time.Now()
 	}
 }
 
-func (m *meter) end(list bool) {
+func (m *meter) stop(list bool) {
 	if list {
 		m.lists++
-		m.listSpent += time.Since(m.began)
-	} else if m.events%sampleEvery == 0 {
+		m.listTime += time.Since(m.startedAt)
+	} else if m.events%meterSampleInterval == 0 {
 		m.timed++
-		m.spent += time.Since(m.began)
+		m.eventTime += time.Since(m.startedAt)
 	}
 }
 
-// heap is what the process has in use, without a stop of the program.
-func heap() int64 {
+// heapInUse returns the heap in use in bytes without stopping the program.
+func heapInUse() int64 {
 	sample := [1]metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample[:])
 	return int64(sample[0].Value.Uint64())
 }
 
-// heapLive is what it has in use after a collection.
-func heapLive() int64 {
+// liveHeap returns the heap in use in bytes after a garbage collection.
+func liveHeap() int64 {
 	runtime.GC()
-	return heap()
+	return heapInUse()
 }
 
-func (f *fleet) result(began time.Time) *experiment.Result {
-	e, virtual := f.exp, float64(f.end-f.from)/1e9
+func (f *fleet) result(started time.Time) *experiment.Result {
+	e, virtual := f.exp, float64(f.measureEnd-f.measureFrom)/1e9
 	r := &experiment.Result{
-		Name: e.Name, Seed: e.Seed, Version: version(), Virtual: virtual, Real: time.Since(began).Seconds(),
-		HeapMB: float64(f.heapMost) / (1 << 20), Processes: len(f.processes),
-		PerKB: float64(f.heapBuilt) / 1024 / float64(max(len(f.processes), 1)), Thinned: map[string]float64{},
-		Calls: f.total.result(), Series: f.seconds, Rules: f.rules,
+		Name: e.Name, Seed: e.Seed, Version: version(), VirtualSeconds: virtual, RealSeconds: time.Since(started).Seconds(),
+		PeakHeapMB: float64(f.peakHeap) / (1 << 20), Sidecars: len(f.sidecars),
+		HeapPerSidecarKB: float64(f.initialHeap) / 1024 / float64(max(len(f.sidecars), 1)), SimulatedShares: map[string]float64{},
+		Calls: f.totals.result(), Series: f.seconds, Violations: f.violations,
 	}
 	for i := range f.services {
 		s := &f.services[i]
-		if s.share < 1 {
-			r.Thinned[s.Name] = s.share
+		if s.simulatedShare < 1 {
+			r.SimulatedShares[s.Name] = s.simulatedShare
 		}
-		r.Rules.ColdFalls += int64(s.falls)
+		r.Violations.ColdCrashes += int64(s.coldCrashes)
 		r.Services = append(r.Services, experiment.ServiceResult{
-			Name: s.Name, Calls: s.stats.result(), Falls: s.falls, WorstCold: s.worstCold,
+			Name: s.Name, Calls: s.stats.result(), ColdCrashes: s.coldCrashes, WorstColdRatio: s.worstColdRatio,
 		})
-		for k := range s.log {
-			if c := &s.log[k]; f.measured(c.made) && c.pending > 0 {
-				r.Control.Unspread++
+		for k := range s.changeLog {
+			if c := &s.changeLog[k]; f.inMeasuredTime(c.madeAt) && c.remaining > 0 {
+				r.Control.UnpropagatedChanges++
 			}
 		}
 	}
 	for i := range f.calls {
-		if c := &f.calls[i]; c.measured && c.place >= 0 && !c.ended && c.tier >= 0 {
-			r.Rules.NoAnswer++
+		if c := &f.calls[i]; c.measured && c.openIndex >= 0 && !c.ended && c.tier >= 0 {
+			r.Violations.Unanswered++
 		}
 	}
 	f.controlResult(&r.Control, virtual)
@@ -271,79 +271,79 @@
 		r.Faults = append(r.Faults, f.faultResult(i))
 		switch f.faults[i].Kind {
 		case "down", "silent", "refusing":
-			if told := r.Faults[i].ToldMax; told < 0 || r.Control.ToldMax < 0 {
-				r.Control.ToldMax = -1
+			if resync := r.Faults[i].ResyncMax; resync < 0 || r.Control.ResyncMax < 0 {
+				r.Control.ResyncMax = -1
 			} else {
-				r.Control.ToldMax = max(r.Control.ToldMax, told)
+				r.Control.ResyncMax = max(r.Control.ResyncMax, resync)
 			}
 		}
 	}
 	return r
 }
 
-func (f *fleet) controlResult(r *experiment.Control, virtual float64) {
+func (f *fleet) controlResult(r *experiment.ControlTraffic, virtual float64) {
 	calls := int64(0)
 	for i := range f.seconds {
 		calls += f.seconds[i].ListCalls
 		r.PeakCallsPerSecond = max(r.PeakCallsPerSecond, float64(f.seconds[i].ListCalls))
 	}
-	c, m := &f.control, &f.meter
+	traffic, meter := &f.control, &f.meter
 	r.CallsPerSecond = float64(calls) / virtual
-	r.RefusedCalls, r.PeakQueue = c.refusals, c.peakQueue
-	r.DiscoveryBusy = float64(c.busyFor) / 1e9 / virtual / float64(len(f.disco.instances))
-	r.SidecarBytesPerSecond = float64(c.out) / virtual / float64(max(len(f.processes), 1))
-	r.DiscoveryBytesPerSecond = float64(c.discoOut) / virtual
-	if m.timed > 0 && m.taken > 0 {
-		each := float64(m.spent.Nanoseconds()) / float64(m.timed) / 1000
-		r.ModuleMicrosPerCall = each * float64(m.events) / float64(m.taken)
+	r.RefusedCalls, r.PeakQueue = traffic.refusedCalls, traffic.peakQueue
+	r.DiscoveryUtilization = float64(traffic.busyTime) / 1e9 / virtual / float64(len(f.discovery.instances))
+	r.SidecarBytesPerSecond = float64(traffic.sidecarBytes) / virtual / float64(max(len(f.sidecars), 1))
+	r.DiscoveryBytesPerSecond = float64(traffic.discoveryBytes) / virtual
+	if meter.timed > 0 && meter.calls > 0 {
+		perEvent := float64(meter.eventTime.Nanoseconds()) / float64(meter.timed) / 1000
+		r.ModuleMicrosPerCall = perEvent * float64(meter.events) / float64(meter.calls)
 	}
-	if m.lists > 0 {
-		r.ModuleMicrosPerList = float64(m.listSpent.Nanoseconds()) / float64(m.lists) / 1000
+	if meter.lists > 0 {
+		r.ModuleMicrosPerList = float64(meter.listTime.Nanoseconds()) / float64(meter.lists) / 1000
 	}
-	if c.spreads.TotalCount() > 0 {
-		r.SpreadP50, r.SpreadP99 = quantile(c.spreads, 50), quantile(c.spreads, 99)
-		r.SpreadMax = float64(c.spreads.Max()) / 1000
+	if traffic.propagation.TotalCount() > 0 {
+		r.PropagationP50, r.PropagationP99 = quantile(traffic.propagation, 50), quantile(traffic.propagation, 99)
+		r.PropagationMax = float64(traffic.propagation.Max()) / 1000
 	}
 }
 
-// faultResult tells what a fault cost. Calls are served as before in the first second after its end in which at most one
-// in a hundred more than in the ten seconds before it is not served.
+// faultResult computes the impact of a fault. The fleet has recovered in the first second after the fault's end in which the
+// share of served calls is at most one percentage point below that of the ten seconds before the fault.
 func (f *fleet) faultResult(i int) experiment.FaultResult {
 	ft := &f.faults[i]
-	r := experiment.FaultResult{Fault: ft.Kind, At: ms(ft.at - f.from), Recovered: -1, ToldMax: -1}
+	r := experiment.FaultResult{Fault: ft.Kind, At: toMillis(ft.at - f.measureFrom), RecoveryTime: -1, ResyncMax: -1}
 	if ft.Target != "" {
 		r.Fault += " " + ft.Target
 	}
-	first, asked, good := int((ft.at-f.from)/1e9), 0.0, 0.0
-	for k := max(first-beforeFault, 0); k < min(first, len(f.seconds)); k++ {
-		asked += float64(f.seconds[k].Asked)
-		good += float64(f.seconds[k].Served)
+	first, offered, served := int((ft.at-f.measureFrom)/1e9), 0.0, 0.0
+	for k := max(first-baselineSeconds, 0); k < min(first, len(f.seconds)); k++ {
+		offered += float64(f.seconds[k].Offered)
+		served += float64(f.seconds[k].Served)
 	}
 	share := 1.0
-	if asked > 0 {
-		share = good / asked
+	if offered > 0 {
+		share = served / offered
 	}
-	end, last := float64(ft.until-f.from)/1e9, len(f.seconds)
+	end, last := float64(ft.endAt-f.measureFrom)/1e9, len(f.seconds)
 	for k := int(math.Ceil(end)); k < len(f.seconds); k++ {
-		if s := &f.seconds[k]; float64(s.Served) >= (share-asBeforeLess)*float64(s.Asked) {
-			r.Recovered, last = 1000*(float64(k)-end), k
+		if s := &f.seconds[k]; float64(s.Served) >= (share-recoveryTolerance)*float64(s.Offered) {
+			r.RecoveryTime, last = 1000*(float64(k)-end), k
 			break
 		}
 	}
 	for k := first; k < last; k++ {
 		s := &f.seconds[k]
-		r.Lost += s.Refused + s.Failed + s.Late
-	}
-	told := len(f.seconds) // a second in which all have been answered
-	for k := range f.ends {
-		if e := &f.ends[k]; int(e.fault) == i {
-			if e.pending == 0 {
-				r.ToldMax = ms(e.told)
-				told = int(math.Ceil(end + float64(e.told)/1e9))
+		r.LostCalls += s.Refused + s.Failed + s.Late
+	}
+	resyncSecond := len(f.seconds) // second in which discovery has reached all tiers
+	for k := range f.faultEnds {
+		if e := &f.faultEnds[k]; int(e.fault) == i {
+			if e.remaining == 0 {
+				r.ResyncMax = toMillis(e.resyncTime)
+				resyncSecond = int(math.Ceil(end + float64(e.resyncTime)/1e9))
 			}
 		}
 	}
-	for k := first; k < min(max(last, told), len(f.seconds)); k++ {
+	for k := first; k < min(max(last, resyncSecond), len(f.seconds)); k++ {
 		r.ListCalls += f.seconds[k].ListCalls
 	}
 	return r
--- a/internal/fleet/network.go
+++ b/internal/fleet/network.go
@@ -6,38 +6,38 @@
 	"forkline/internal/experiment"
 )
 
-const jitter = 0.1 // of each message's delay, either way
+const jitterShare = 0.1 // maximum deviation of a message's delay, as a share of it
 
-// place is where a machine stands. Zones are numbered over all regions, racks within their zone.
-type place struct {
+// location is the location of a machine. Zones are numbered across all regions, racks within their zone.
+type location struct {
 	region, zone uint8
 	rack         uint16
 }
 
-// network delays messages, loses some (the transport sends them again) and is split by faults.
+// network delays messages, loses some, which the transport retransmits, and is partitioned by faults.
 type network struct {
 	experiment.Network
-	split []int // by region: faults that cut it off now
+	splits []int // number of active faults that cut a region off, by region
 }
 
-// reaches tells whether a message gets from one region to another. One sent while they are split is lost for good, as
-// no transport sends again for as long as a split lasts.
+// reaches reports whether a message gets from one region to another. A message that is sent during a split is lost for good,
+// as no transport retransmits for as long as a split lasts.
 func (n *network) reaches(from, to uint8) bool {
-	return from == to || n.split[from] == 0 && n.split[to] == 0
+	return from == to || n.splits[from] == 0 && n.splits[to] == 0
 }
 
-// delay is the time that a message takes.
-func (n *network) delay(from, to place, r *source) int64 {
-	d := time.Duration(n.Regions)
+// delay draws the one-way delay of a message in ns.
+func (n *network) delay(from, to location, r *randSource) int64 {
+	d := time.Duration(n.BetweenRegions)
 	switch {
 	case from.zone == to.zone:
 		d = time.Duration(n.SameZone)
 	case from.region == to.region:
 		d = time.Duration(n.SameRegion)
 	}
-	at := int64(float64(d) * (1 + jitter*(2*r.float()-1)))
-	for n.Loss > 0 && r.float() < n.Loss {
-		at += int64(n.Retransmit)
+	at := int64(float64(d) * (1 + jitterShare*(2*r.uniform()-1)))
+	for n.LossRate > 0 && r.uniform() < n.LossRate {
+		at += int64(n.RetransmitDelay)
 	}
 	return at
 }
