--- a/api.go
+++ b/api.go
@@ -5,9 +5,8 @@
 	"math"
 )
 
-// This file is the public interface of the decision module: its configuration
-// (Settings), its input (Event) and its output (Action). The decisions are made
-// in balancer.go. All times and durations are in milliseconds.
+// This file is the public interface of the decision module: its configuration (Settings), its input (Event) and
+// its output (Action). The decisions are made in balancer.go. All times and durations are in milliseconds.
 
 // Effect describes the side effects of a class and so whether its requests may be retried.
 type Effect uint8
@@ -19,8 +18,8 @@
 	Unsafe               // must not run more than once
 )
 
-// DedupScope is the set of servers that drop repeats of a keyed request among themselves. ScopeZone|ScopeCell is
-// the set of servers that are in the same zone and in the same cell.
+// DedupScope is the set of servers that drop repeats of a keyed request among themselves. ScopeZone|ScopeCell
+// is the set of servers that are in the same zone and in the same cell.
 type DedupScope uint8
 
 // The deduplication scopes of a keyed class.
@@ -79,8 +78,7 @@
 	RetryBudgetWindow float64 // length of the sliding window; 0 = no retry budget
 }
 
-// Settings is the configuration of one balancer copy. A field that is absent takes the default that its comment
-// states.
+// Settings is the configuration of one balancer copy. An absent field takes the default in its comment.
 type Settings struct {
 	Copies           int     // number of balancer copies of this tier; default 1
 	Rank             int     // index of this copy among them
@@ -109,38 +107,39 @@
 }
 
 // newSettingError returns a SettingError whose problem is formatted from a format string and its arguments.
-func newSettingError(setting, problem string, of ...any) error {
-	return &SettingError{Setting: setting, Problem: fmt.Sprintf(problem, of...)}
+func newSettingError(setting, problem string, args ...any) error {
+	return &SettingError{Setting: setting, Problem: fmt.Sprintf(problem, args...)}
 }
 
-// check fills in defaults and returns an error for the first invalid setting. The names in the errors are those of
-// the configuration, not of the Go fields.
-func (set *Settings) check() error {
-	set.Copies, set.Stages = max(set.Copies, 1), max(set.Stages, 1)
-	set.Limits.MaxAttempts = max(set.Limits.MaxAttempts, 1)
-	if len(set.Classes) == 0 {
+// validate fills in defaults and returns an error for the first invalid setting. The names in the errors are
+// those of the configuration, not of the Go fields.
+func (s *Settings) validate() error {
+	s.Copies, s.Stages = max(s.Copies, 1), max(s.Stages, 1)
+	s.Limits.MaxAttempts = max(s.Limits.MaxAttempts, 1)
+	if len(s.Classes) == 0 {
 		return newSettingError("Classes", "is empty")
 	}
-	if set.Stage < 0 || set.Stage >= set.Stages {
-		return newSettingError("Stage", "%d is outside the %d stages", set.Stage, set.Stages)
+	if s.Stage < 0 || s.Stage >= s.Stages {
+		return newSettingError("Stage", "%d is outside the %d stages", s.Stage, s.Stages)
 	}
-	for i, c := range set.Classes {
+	for i, c := range s.Classes {
 		class := fmt.Sprintf("Classes[%d]", i)
 		if c.Effect > Unsafe {
 			return newSettingError(class+".Effect", "%d is unknown", c.Effect)
 		}
 		if !(c.Timeout > 0) || !(c.TargetLatency > 0) || c.DedupWindow < 0 || c.Value < 0 {
-			return newSettingError(class, "has GiveUp %v, Aim %v, Window %v or Worth %v, which is not a time or worth",
+			return newSettingError(class,
+				"has GiveUp %v, Aim %v, Window %v or Worth %v: the first two must be positive, the others not negative",
 				c.Timeout, c.TargetLatency, c.DedupWindow, c.Value)
 		}
 	}
-	f := &set.Safety
+	safety := &s.Safety
 	names := [...]string{"AnswerSlack", "DrainGrace", "ColdFrom", "Ramp", "AskEvery", "DrainClose",
 		"BudgetFree", "BudgetShare", "BudgetWindow"}
-	for i, v := range [...]float64{f.AnswerSlack, f.DrainGrace, f.ColdCapacity, f.RampTime, f.PollInterval, f.DrainCloseTimeout,
-		f.RetryBudgetMin, f.RetryBudgetRatio, f.RetryBudgetWindow} {
+	for i, v := range [...]float64{safety.AnswerSlack, safety.DrainGrace, safety.ColdCapacity, safety.RampTime,
+		safety.PollInterval, safety.DrainCloseTimeout, safety.RetryBudgetMin, safety.RetryBudgetRatio, safety.RetryBudgetWindow} {
 		if !(v >= 0) || math.IsInf(v, 0) {
-			return newSettingError("Safety."+names[i], "%v is negative or no number", v)
+			return newSettingError("Safety."+names[i], "%v is negative or not a finite number", v)
 		}
 	}
 	return nil
@@ -179,7 +178,7 @@
 	EvList                                 // List, Servers
 	EvTimer                                // Token
 	EvProbeResult                          // Server, Outcome, Elapsed, Report, ReportLen
-	EvConnecting                           // Request, Attempt: the attempt waits for a new connection; not every host reports this
+	EvConnecting                           // Request, Attempt: the attempt waits for a new connection; optional
 	EvConnected                            // Request, Attempt: the attempt's connection is established
 )
 
@@ -233,9 +232,9 @@
 	Servers       []ServerEntry
 }
 
-// sanitized returns a copy of the event in which each time or hint that is negative or not a finite number is 0. A load
-// report with such a value is dropped. One invalid number would stay in the moving averages for good, or keep a
-// request open for ever. A Deadline of 0 has passed.
+// sanitized returns a copy of the event in which each time or hint that is negative or not a finite number is
+// 0. A load report with such a value is dropped. One invalid number would stay in the moving averages for good,
+// or keep a request open forever. A Deadline of 0 has passed.
 func (ev *Event) sanitized() Event {
 	e := *ev
 	for _, f := range [...]*float64{&e.Deadline, &e.WorkHint, &e.Elapsed, &e.ServiceTime} {
--- a/asking.go
+++ b/asking.go
@@ -2,18 +2,19 @@
 
 import "math"
 
-// When a copy asks for the list again is here; nothing is chosen.
+// This file schedules when a copy polls the list; it makes no routing decisions.
 
 const (
-	askSoon  = 1000.0 // round of calls for the list, by all copies, once a watch broke or moved
-	askRound = 5000.0 // and after that: of the 6 s till changes are told, 1 is left for an answer
+	fastPollRound = 1000.0 // ms in which all copies poll once, after a watch broke or discovery moved
+	pollRound     = 5000.0 // ms, for later rounds: leaves 1 s for an answer of the 6 s until copies know of a change
 )
 
-// nextTurn is this copy's next turn to ask for the list. By rank every copy has one in each round: it asks
-// as often while discovery is away as at its return, evenly with the others, and tiers in between. A clock
-// that is off moves turns but not their rate. They are whole, so that sums are exact.
-func (b *Balancer) nextTurn() float64 {
-	place := float64(b.set.Rank) + float64(b.set.Stage)/float64(b.set.Stages)
-	turn := math.Floor(askRound * math.Mod(place/float64(b.set.Copies), 1))
-	return b.now + b.askRounds - math.Mod(b.now+askRound-turn, b.askRounds)
+// nextPollAt is the time of this copy's next slot to poll the list. Each copy has one slot per round by its
+// rank: while discovery is unreachable and when it returns, it polls at the same rate, evenly spread among
+// the copies and tiers. A wrong clock shifts slots but not their rate. Slots are whole ms, so that sums are
+// exact.
+func (b *Balancer) nextPollAt() float64 {
+	slot := float64(b.cfg.Rank) + float64(b.cfg.Stage)/float64(b.cfg.Stages)
+	offset := math.Floor(pollRound * math.Mod(slot/float64(b.cfg.Copies), 1))
+	return b.now + b.nextPollRound - math.Mod(b.now+pollRound-offset, b.nextPollRound)
 }
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -57,7 +57,7 @@
 
 // learn has the module learn of an outcome, and the limit of an answer.
 func (h *harness) learn(s *server, class int, out Outcome, took float64) {
-	h.b.learn(s, class, out, took)
+	h.b.recordOutcome(s, class, out, took)
 	if out == OK {
 		h.b.limit.observe(h.b.now, took/h.b.classes[class].threshold)
 	}
@@ -66,8 +66,8 @@
 // reviseLimit revises the concurrency limit now.
 func (h *harness) reviseLimit() {
 	p95, ok := h.b.p95(nil)
-	h.b.limit.revise(float64(h.b.out), p95, ok, h.b.scratch)
-	h.b.limit.reviseAt = h.b.now + windowTime
+	h.b.limit.revise(float64(h.b.inFlight), p95, ok, h.b.scratch)
+	h.b.limit.reviseAt = h.b.now + latencyWindow
 }
 
 func (h *harness) request(id uint32, class uint16) []Action {
@@ -120,7 +120,7 @@
 		{"a load over the maximum is not cut by it", 14, 5, 0, 1, 12, 14},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			if got := revised(c.load, c.goodput, c.p95, c.floor, c.most); math.Abs(got-c.after) > 1e-6 {
+			if got := nextLoad(c.load, c.goodput, c.p95, c.floor, c.most); math.Abs(got-c.after) > 1e-6 {
 				t.Errorf("load %v, want %v", got, c.after)
 			}
 		})
@@ -131,8 +131,8 @@
 	h := start(t, plain(), ids(2)...)
 	s := h.b.live[0]
 	add := func(age, ratio float64) {
-		s.samples[s.count%ringSize] = stats.Sample{At: h.b.now - age, Value: ratio}
-		s.count++
+		s.samples[s.sampleCount%ringSize] = stats.Sample{At: h.b.now - age, Value: ratio}
+		s.sampleCount++
 	}
 	if _, ok := h.b.p95(s); ok {
 		t.Error("a server without samples counts as measured")
@@ -156,12 +156,12 @@
 // Clients that are not told, or wait only for so long, must not be asked to come back later.
 func TestRefusalTellsWhatTheSettingsAllow(t *testing.T) {
 	for want, l := range map[float64]Limits{
-		0: {MaxRetryAfter: 2000}, 300: {SendRetryAfter: true, MaxRetryAfter: 300}, comeBack: {SendRetryAfter: true},
+		0: {MaxRetryAfter: 2000}, 300: {SendRetryAfter: true, MaxRetryAfter: 300}, defaultRetryAfter: {SendRetryAfter: true},
 	} {
 		set := plain()
 		set.Limits = l
 		h := start(t, set, ids(1)...)
-		h.b.limit.most, h.b.limit.reviseAt = 1, math.Inf(1)
+		h.b.limit.maxInFlight, h.b.limit.reviseAt = 1, math.Inf(1)
 		var last []Action
 		for id := uint32(1); id <= 9; id++ {
 			last = h.request(id, 0)
@@ -175,7 +175,7 @@
 func TestQueueHoldsInOrderAndIsBounded(t *testing.T) {
 	set := plain()
 	h := start(t, set, ids(1)...)
-	h.b.limit.most, h.b.limit.reviseAt = 1, math.Inf(1)
+	h.b.limit.maxInFlight, h.b.limit.reviseAt = 1, math.Inf(1)
 	h.b.sends = stats.Rate{PerSecond: 20, UpdatedAt: h.now}
 	if acts := h.request(1, 0); len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Fatalf("first call: %+v", acts)
@@ -199,7 +199,7 @@
 
 func TestCheapCallsAreRefusedFirst(t *testing.T) {
 	h := start(t, plain(), ids(1)...)
-	h.b.limit.most, h.b.limit.reviseAt, h.b.sends = 1, math.Inf(1), stats.Rate{PerSecond: 60, UpdatedAt: h.now}
+	h.b.limit.maxInFlight, h.b.limit.reviseAt, h.b.sends = 1, math.Inf(1), stats.Rate{PerSecond: 60, UpdatedAt: h.now}
 	h.request(1, 2)
 	for id := uint32(2); id < 5; id++ {
 		h.request(id, 2)
@@ -220,9 +220,9 @@
 	h := start(t, set, ids(1)...)
 	plainValue := h.b.value(1)
 	for range 200 { // calls of the cheapest class that end unserved
-		h.b.end(&request{class: 0})
+		h.b.endRequest(&request{class: 0})
 	}
-	if worst := h.b.worstServed(); worst != 0 || h.b.value(1) != plainValue {
+	if worst := h.b.worstServedClass(); worst != 0 || h.b.value(1) != plainValue {
 		t.Fatalf("class %d is held to be served worst; value of another %v, before %v", worst, h.b.value(1), plainValue)
 	}
 	mean := (1 + 2 + 5) / 3.0
@@ -230,9 +230,9 @@
 		t.Errorf("value %v, want %v", h.b.value(0), want)
 	}
 	for range 400 {
-		h.b.end(&request{class: 2})
+		h.b.endRequest(&request{class: 2})
 	}
-	if worst := h.b.worstServed(); worst != 2 {
+	if worst := h.b.worstServedClass(); worst != 2 {
 		t.Errorf("class %d, want the one that is served worst now", worst)
 	}
 }
@@ -244,47 +244,47 @@
 	for id := uint32(1); id <= 8; id++ {
 		h.request(id, 0)
 	}
-	h.b.limit.most = 40
+	h.b.limit.maxInFlight = 40
 	left := h.b.live[3]
-	if h.b.out != 8 || left.out == 0 {
-		t.Fatalf("%d calls out, %d at the server that leaves", h.b.out, left.out)
+	if h.b.inFlight != 8 || left.inFlight == 0 {
+		t.Fatalf("%d calls out, %d at the server that leaves", h.b.inFlight, left.inFlight)
 	}
 	gone := left.ServerEntry
 	gone.State = Draining
 	h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{gone}})
-	if h.b.limit.most != 30 || h.b.out != 8-left.out {
-		t.Errorf("room %v and %d calls out, want 30 and %d", h.b.limit.most, h.b.out, 8-left.out)
+	if h.b.limit.maxInFlight != 30 || h.b.inFlight != 8-left.inFlight {
+		t.Errorf("room %v and %d calls out, want 30 and %d", h.b.limit.maxInFlight, h.b.inFlight, 8-left.inFlight)
 	}
 	for id, q := range h.b.requests { // an answer from there changes nothing any more
 		if q.attempts[0].server == left {
-			out := h.b.out
+			out := h.b.inFlight
 			h.do(Event{Kind: EvOutcome, Request: id, Server: left.Server, Outcome: OK, Elapsed: 5, RequestDone: true})
-			if h.b.out != out {
-				t.Errorf("%d calls out, want %d", h.b.out, out)
+			if h.b.inFlight != out {
+				t.Errorf("%d calls out, want %d", h.b.inFlight, out)
 			}
 		}
 	}
 	come := []ServerEntry{{Server: 90, State: Ready}, {Server: 91, State: Draining}}
 	h.do(Event{Kind: EvList, List: ListDelta, Servers: come})
-	if h.b.limit.most != 40 {
-		t.Errorf("room %v with the fourth server back, want 40", h.b.limit.most)
+	if h.b.limit.maxInFlight != 40 {
+		t.Errorf("room %v with the fourth server back, want 40", h.b.limit.maxInFlight)
 	}
-	h.b.set.Safety.RampTime, h.b.set.Safety.ColdCapacity = 1000, 0.4
+	h.b.cfg.Safety.RampTime, h.b.cfg.Safety.ColdCapacity = 1000, 0.4
 	h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 92, State: Ready, Started: h.now}}})
-	if h.b.limit.most != 44 {
-		t.Errorf("room %v with a cold fifth server, want 44", h.b.limit.most)
+	if h.b.limit.maxInFlight != 44 {
+		t.Errorf("room %v with a cold fifth server, want 44", h.b.limit.maxInFlight)
 	}
 	for range 3 {
-		h.b.learn(h.b.live[0], 0, Error, 1)
+		h.b.recordOutcome(h.b.live[0], 0, Error, 1)
 	}
-	if !h.b.live[0].ejected || math.Round(h.b.limit.most) != 34 {
-		t.Errorf("room %v with one server cut, want 34", h.b.limit.most)
+	if !h.b.live[0].ejected || math.Round(h.b.limit.maxInFlight) != 34 {
+		t.Errorf("room %v with one server cut, want 34", h.b.limit.maxInFlight)
 	}
-	for range trialGoods {
-		h.b.learn(h.b.live[0], 0, OK, 1)
+	for range trialSuccesses {
+		h.b.recordOutcome(h.b.live[0], 0, OK, 1)
 	}
-	if h.b.live[0].ejected || math.Round(h.b.limit.most) != 44 {
-		t.Errorf("room %v with that one back, want 44", h.b.limit.most)
+	if h.b.live[0].ejected || math.Round(h.b.limit.maxInFlight) != 44 {
+		t.Errorf("room %v with that one back, want 44", h.b.limit.maxInFlight)
 	}
 }
 
@@ -299,12 +299,12 @@
 		{0.3, math.Inf(1), 200, true}, {1.3, math.Inf(1), 910, false},
 	} {
 		h := start(t, plain(), ids(4)...)
-		for range windowSamples {
+		for range minSamples {
 			h.learn(h.b.live[0], 0, OK, c.took)
 		}
-		h.b.limit.mean, h.b.limit.least, h.b.limit.most, h.b.out = c.typical, c.calm, 40, 40
-		if h.reviseLimit(); h.b.limit.most > 40 != c.rises {
-			t.Errorf("%+v: limit %v after 40", c, h.b.limit.most)
+		h.b.limit.meanRatio, h.b.limit.baseline, h.b.limit.maxInFlight, h.b.inFlight = c.typical, c.calm, 40, 40
+		if h.reviseLimit(); h.b.limit.maxInFlight > 40 != c.rises {
+			t.Errorf("%+v: limit %v after 40", c, h.b.limit.maxInFlight)
 		}
 	}
 }
@@ -327,21 +327,21 @@
 		set.Stage, set.Stages = c.stage, 2
 		set.Limits.CancelAttempts = true
 		h := start(t, set, ids(2)...)
-		h.b.classes[c.class].latency = 10
+		h.b.classes[c.class].meanLatency = 10
 		if s := h.b.live[0]; c.ejected {
 			s.ejected, s.measured, s.load, s.credit = true, true, 1, 1
 		}
 		sent := h.request(1, c.class)
-		s := h.b.byID[sent[0].Server]
+		s := h.b.servers[sent[0].Server]
 		if s.ejected != c.ejected {
 			t.Fatalf("%s: sent to the other server", c.name)
 		}
 		h.now += 40
 		if c.answers {
-			s.heard = h.now
+			s.lastActivity = h.now
 		}
-		h.now += 10*tryTimeoutMeans - 40 + 1
-		acts := h.do(Event{Kind: EvTimer, Token: h.b.timer})
+		h.now += 10*attemptTimeoutFactor - 40 + 1
+		acts := h.do(Event{Kind: EvTimer, Token: h.b.timerToken})
 		if off := len(acts) == 1 && acts[0].Kind == ActCancel && acts[0].Request == 1; off != c.want {
 			t.Errorf("%s: %+v", c.name, acts)
 		}
@@ -349,11 +349,11 @@
 			continue
 		}
 		acts = h.do(Event{Kind: EvOutcome, Request: 1, Server: s.Server, Outcome: Cancelled, Elapsed: 61})
-		if len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Server == s.Server || s.run != 1 {
-			t.Errorf("%s: then %+v, a run of %v failures", c.name, acts, s.run)
+		if len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Server == s.Server || s.failureRun != 1 {
+			t.Errorf("%s: then %+v, a run of %v failures", c.name, acts, s.failureRun)
 		}
 		h.now += 1000
-		if h.do(Event{Kind: EvTimer, Token: h.b.timer}); h.b.wakeAt != 0 && len(h.b.hedgeTimers) == 0 {
+		if h.do(Event{Kind: EvTimer, Token: h.b.timerToken}); h.b.wakeAt != 0 && len(h.b.attemptTimers) == 0 {
 			t.Errorf("%s: a timer is pending for nothing", c.name)
 		}
 	}
@@ -367,31 +367,31 @@
 		set.Classes[i].TargetLatency, set.Classes[i].Timeout = 1000, 60000
 	}
 	h := start(t, set, ids(1)...)
-	h.b.limit.most, h.b.limit.reviseAt, h.b.limit.serving = 10, math.Inf(1), 2 // for the server that comes back below, too
+	h.b.limit.maxInFlight, h.b.limit.reviseAt, h.b.limit.servers = 10, math.Inf(1), 2 // for the server that comes back below, too
 	var stuck []Action
 	for id := uint32(1); id <= 20; id++ {
-		h.b.sends.Add(h.now, 10, demandTime) // the queue is long enough
+		h.b.sends.Add(h.now, 10, demandTau) // the queue is long enough
 		stuck = append(stuck, h.do(Event{Kind: EvRequest, Request: id, Class: 2, Deadline: h.now + 60000})...)
 	}
-	h.b.limit.serving = 2
+	h.b.limit.servers = 2
 	h.do(Event{Kind: EvList, List: ListFull, Servers: ids(2)})
 	silent, other := h.b.live[0], h.b.live[1]
-	h.now += h.b.silence
-	if h.do(Event{Kind: EvTimer, Token: h.b.timer}); len(stuck) != 10 || other.out != 0 {
-		t.Fatalf("%d calls stuck, %d sent to the other server while the silence is short", len(stuck), other.out)
+	h.now += h.b.maxThreshold
+	if h.do(Event{Kind: EvTimer, Token: h.b.timerToken}); len(stuck) != 10 || other.inFlight != 0 {
+		t.Fatalf("%d calls stuck, %d sent to the other server while the silence is short", len(stuck), other.inFlight)
 	}
 	h.now++
-	if h.do(Event{Kind: EvTimer, Token: h.b.timer}); other.out != 5 || silent.out != 10 || h.b.limit.most != 5 {
+	if h.do(Event{Kind: EvTimer, Token: h.b.timerToken}); other.inFlight != 5 || silent.inFlight != 10 || h.b.limit.maxInFlight != 5 {
 		t.Errorf("%d calls out at the other server in a room of %v, %d at the silent one; want 5 in 5, and 10",
-			other.out, h.b.limit.most, silent.out)
+			other.inFlight, h.b.limit.maxInFlight, silent.inFlight)
 	}
 	h.do(Event{Kind: EvOutcome, Request: stuck[0].Request, Server: silent.Server, Outcome: Timeout, Elapsed: 1000})
-	if !silent.silent || h.b.limit.most != 5 {
+	if !silent.unresponsive || h.b.limit.maxInFlight != 5 {
 		t.Error("a time-out counts as a sign of life")
 	}
 	h.do(Event{Kind: EvOutcome, Request: stuck[1].Request, Server: silent.Server, Elapsed: 1000, RequestDone: true})
-	if silent.silent || h.b.limit.most != 10 || h.b.out != silent.out+other.out {
-		t.Errorf("heard of again: silent %v, room %v, %d out", silent.silent, h.b.limit.most, h.b.out)
+	if silent.unresponsive || h.b.limit.maxInFlight != 10 || h.b.inFlight != silent.inFlight+other.inFlight {
+		t.Errorf("heard of again: silent %v, room %v, %d out", silent.unresponsive, h.b.limit.maxInFlight, h.b.inFlight)
 	}
 }
 
@@ -401,16 +401,16 @@
 	set.Classes[0].Stream = true
 	h := start(t, set, ids(2)...)
 	sent := h.request(1, 0)
-	s := h.b.byID[sent[0].Server]
+	s := h.b.servers[sent[0].Server]
 	h.now += 300
 	h.do(Event{Kind: EvResponseStarted, Request: 1, Server: s.Server, Elapsed: 300})
-	h.now += 10 * h.b.silence
-	if h.do(Event{Kind: EvTimer, Token: h.b.timer}); h.b.overdue(s) {
+	h.now += 10 * h.b.maxThreshold
+	if h.do(Event{Kind: EvTimer, Token: h.b.timerToken}); h.b.overdue(s) {
 		t.Error("overdue with nothing out but a stream")
 	}
 	h.do(Event{Kind: EvOutcome, Request: 1, Server: s.Server, Elapsed: 9000, RequestDone: true})
-	if s.streams != 0 || s.out != 0 {
-		t.Errorf("%d streams and %d calls out after the end", s.streams, s.out)
+	if s.streams != 0 || s.inFlight != 0 {
+		t.Errorf("%d streams and %d calls out after the end", s.streams, s.inFlight)
 	}
 }
 
@@ -421,15 +421,15 @@
 		set.Classes[i].TargetLatency, set.Classes[i].Timeout = 1000, 60000
 	}
 	h := start(t, set, ids(2)...)
-	h.b.limit.most, h.b.limit.reviseAt = 10, math.Inf(1)
+	h.b.limit.maxInFlight, h.b.limit.reviseAt = 10, math.Inf(1)
 	for id := uint32(1); id <= 20; id++ {
-		h.b.sends.Add(h.now, 10, demandTime)
+		h.b.sends.Add(h.now, 10, demandTau)
 		h.do(Event{Kind: EvRequest, Request: id, Class: 2, Deadline: h.now + 60000})
 	}
-	h.now += 10 * h.b.silence
-	h.do(Event{Kind: EvTimer, Token: h.b.timer})
-	if out := h.b.live[0].out + h.b.live[1].out; out != 10 || h.b.limit.most != 10 {
-		t.Errorf("%d calls out in a room of %v, want 10 in 10", out, h.b.limit.most)
+	h.now += 10 * h.b.maxThreshold
+	h.do(Event{Kind: EvTimer, Token: h.b.timerToken})
+	if out := h.b.live[0].inFlight + h.b.live[1].inFlight; out != 10 || h.b.limit.maxInFlight != 10 {
+		t.Errorf("%d calls out in a room of %v, want 10 in 10", out, h.b.limit.maxInFlight)
 	}
 }
 
@@ -439,22 +439,22 @@
 	set := plain()
 	set.Classes[2].TargetLatency, set.Classes[2].Timeout = 5000, 10000
 	h := start(t, set, ids(4)...)
-	h.b.limit.most, h.b.limit.reviseAt, h.b.pooled, h.b.tierLatency = 100, math.Inf(1), 100, 0.1
+	h.b.limit.maxInFlight, h.b.limit.reviseAt, h.b.poolCount, h.b.tierRatio = 100, math.Inf(1), 100, 0.1
 	for i, s := range h.b.live { // at three calls each, one server answers in two thirds of the others' time
-		s.linked, s.meanLatency, s.meanConcurrency, s.count, s.reviseAt = true, 0.12, 3, ringSize, math.Inf(1)
+		s.connected, s.meanRatio, s.meanConcurrency, s.sampleCount, s.reviseAt = true, 0.12, 3, ringSize, math.Inf(1)
 		s.measured, s.load = true, 100
 		if i == 0 {
-			s.meanLatency = 0.08
+			s.meanRatio = 0.08
 		}
 	}
 	h.b.recount()
 	for id := uint32(1); id <= 36; id++ { // none is answered meanwhile
-		h.b.sends.Add(h.now, 10, demandTime)
+		h.b.sends.Add(h.now, 10, demandTau)
 		h.do(Event{Kind: EvRequest, Request: id, Class: 2, Deadline: h.now + 10000})
 	}
 	for i, s := range h.b.live {
-		if s.out < 6 || s.out > 15 {
-			t.Errorf("%d of 36 calls at server %d", s.out, i)
+		if s.inFlight < 6 || s.inFlight > 15 {
+			t.Errorf("%d of 36 calls at server %d", s.inFlight, i)
 		}
 	}
 }
@@ -467,9 +467,9 @@
 		set.Limits.IdleTimeout = 1000
 		h := start(t, set, ids(2)...)
 		s := h.b.live[0]
-		s.ejected, s.measured, s.load, s.run = true, true, 0.1, 3
+		s.ejected, s.measured, s.load, s.failureRun = true, true, 0.1, 3
 		h.now += 20000
-		h.b.live[1].linked, h.b.live[1].heard = true, h.now
+		h.b.live[1].connected, h.b.live[1].lastActivity = true, h.now
 		acts := h.request(1, uint16(class))
 		if len(acts) != 1 || acts[0].Kind != ActSend || (acts[0].Server == s.Server) != want {
 			t.Errorf("class %d: %+v, a trial %v", class, acts, want)
@@ -677,8 +677,8 @@
 			t.Errorf("%+v led to %+v", ev, acts)
 		}
 	}
-	if h.b.out != 1 {
-		t.Errorf("%d calls out, want 1", h.b.out)
+	if h.b.inFlight != 1 {
+		t.Errorf("%d calls out, want 1", h.b.inFlight)
 	}
 }
 
@@ -742,13 +742,13 @@
 	h := start(t, plain(), ids(10)...)
 	s := h.b.live[0]
 	for range 3 {
-		h.b.learn(s, 0, Error, 1)
+		h.b.recordOutcome(s, 0, Error, 1)
 	}
-	if !s.ejected || h.b.loadOf(s) > 1 {
-		t.Fatalf("after three failures: cut %v, load %v", s.ejected, h.b.loadOf(s))
+	if !s.ejected || h.b.loadFor(s) > 1 {
+		t.Fatalf("after three failures: cut %v, load %v", s.ejected, h.b.loadFor(s))
 	}
-	for range trialGoods {
-		h.b.learn(s, 0, OK, 20)
+	for range trialSuccesses {
+		h.b.recordOutcome(s, 0, OK, 20)
 	}
 	if s.ejected || s.measured {
 		t.Errorf("after good trials: cut %v, measured %v", s.ejected, s.measured)
@@ -760,7 +760,7 @@
 	h := start(t, plain(), ids(10)...)
 	for range 10 {
 		for _, s := range h.b.live {
-			h.b.learn(s, 0, Timeout, 500)
+			h.b.recordOutcome(s, 0, Timeout, 500)
 		}
 	}
 	cut := 0
@@ -805,7 +805,7 @@
 	set := plain()
 	set.Limits.Probing, set.ReportField, set.ProbeCost = true, 2, 0.001
 	h := start(t, set, ids(8)...)
-	h.b.heldMean = 10 // most servers hold more than those asked: no second question
+	h.b.meanReported = 10 // most servers hold more than those asked: no second question
 	probed := h.request(1, 0)
 	if len(probed) < 2 || probed[0].Kind != ActProbe {
 		t.Fatalf("want probes before the send: %+v", probed)
@@ -820,7 +820,7 @@
 	}
 	h.now += 1000
 	h.request(2, 0)
-	h.now += probeWait*set.Classes[0].TargetLatency + 1
+	h.now += probeTimeoutShare*set.Classes[0].TargetLatency + 1
 	if acts = h.do(Event{Kind: EvTimer}); len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Errorf("actions %+v, want a send though no probe came back", acts)
 	}
@@ -901,11 +901,11 @@
 	}
 	h.b.recount()
 	slow, quick := h.b.live[0], h.b.live[1]
-	slow.out, slow.credit, slow.accruedAt = 5, 40, h.now
-	quick.out, quick.credit, quick.accruedAt = 3, 3, h.now
-	slow.heard, quick.heard = h.now, h.now
-	if got := h.b.choose(&request{due: h.now + 1000, aimAt: h.now + 500}); got != quick {
-		t.Errorf("chose server %d with %d calls out", got.Server, got.out)
+	slow.inFlight, slow.credit, slow.accruedAt = 5, 40, h.now
+	quick.inFlight, quick.credit, quick.accruedAt = 3, 3, h.now
+	slow.lastActivity, quick.lastActivity = h.now, h.now
+	if got := h.b.choose(&request{deadline: h.now + 1000, targetAt: h.now + 500}); got != quick {
+		t.Errorf("chose server %d with %d calls out", got.Server, got.inFlight)
 	}
 }
 
@@ -915,8 +915,8 @@
 	set := plain()
 	set.Limits.Probing, set.ReportField = true, 1
 	h := start(t, set, ids(8)...)
-	h.b.turn = 150    // ms for each call held, aim 500
-	h.b.heldMean = 10 // most servers hold more than those asked: no second question
+	h.b.callTime = 150    // ms for each call held, aim 500
+	h.b.meanReported = 10 // most servers hold more than those asked: no second question
 	answer := func(probes []Action, held float32) (acts []Action) {
 		for _, p := range probes {
 			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, Report: [4]float32{held}, ReportLen: 1})
@@ -927,7 +927,7 @@
 		t.Fatalf("sent to a server that holds five: %+v", acts)
 	}
 	h.now += 100
-	again := h.do(Event{Kind: EvTimer, Token: h.b.timer})
+	again := h.do(Event{Kind: EvTimer, Token: h.b.timerToken})
 	if len(again) == 0 || again[0].Kind != ActProbe {
 		t.Fatalf("want other servers asked while the call waits: %+v", again)
 	}
@@ -943,7 +943,7 @@
 	for hint, aim := range map[float64]float64{0: 500, 100: 700, 900: 1000} {
 		h := start(t, set)
 		h.do(Event{Kind: EvRequest, Request: 1, Deadline: h.now + 5000, WorkHint: hint})
-		if got := h.b.requests[1].aimAt - h.now; got != aim {
+		if got := h.b.requests[1].targetAt - h.now; got != aim {
 			t.Errorf("hint %v: aim after %v, want %v", hint, got, aim)
 		}
 	}
@@ -1047,7 +1047,7 @@
 		for attempt := uint16(0); len(acts) > 0 && acts[0].Kind == ActSend; attempt++ {
 			if attempt > 0 {
 				further = append(further, h.now)
-				from, f := h.now-10000, &h.b.set.Safety
+				from, f := h.now-10000, &h.b.cfg.Safety
 				allowed := f.RetryBudgetMin + f.RetryBudgetRatio*count(taken, from+1e-6)
 				if made := count(further, from); made > allowed+1e-9 {
 					t.Fatalf("%v: %v further attempts in the window, %v allowed", h.now, made, allowed)
@@ -1061,7 +1061,7 @@
 	if len(further) < 20 {
 		t.Errorf("only %d further attempts: the budget was not used", len(further))
 	}
-	if n := h.b.taken.Len(); n > 1200 {
+	if n := h.b.accepted.Len(); n > 1200 {
 		t.Errorf("%d entries kept for a window that holds 270", n)
 	}
 }
@@ -1076,13 +1076,13 @@
 			sent[id] = a.Server
 		}
 	}
-	h.b.limit.most, h.b.limit.reviseAt = 0, math.Inf(1)
+	h.b.limit.maxInFlight, h.b.limit.reviseAt = 0, math.Inf(1)
 	for id := uint32(1); id <= 2; id++ {
 		if acts := h.do(Event{Kind: EvOutcome, Request: id, Server: sent[id], Outcome: Rejected, Elapsed: 1}); len(acts) != 0 {
 			t.Fatalf("want both to wait: %+v", acts)
 		}
 	}
-	h.b.limit.most = 10
+	h.b.limit.maxInFlight = 10
 	acts := h.do(Event{Kind: EvTimer})
 	if len(acts) != 2 || acts[0].Kind != ActSend || acts[1].Kind != ActRefuse {
 		t.Errorf("want one sent and one refused: %+v", acts)
@@ -1124,14 +1124,14 @@
 	}
 	last, closed := h.now, 0
 	for ; h.now < last+set.Safety.DrainCloseTimeout-1; h.now += 10 {
-		closed += closes(h.do(Event{Kind: EvTimer, Token: h.b.timer}), 100)
+		closed += closes(h.do(Event{Kind: EvTimer, Token: h.b.timerToken}), 100)
 	}
 	if closed != 1 {
 		t.Errorf("closed %d times by timer, want once", closed)
 	}
 	for range 100 {
 		h.now += 50
-		closed += closes(h.do(Event{Kind: EvTimer, Token: h.b.timer}), 100)
+		closed += closes(h.do(Event{Kind: EvTimer, Token: h.b.timerToken}), 100)
 	}
 	if closed != 1 || len(h.b.closing) != 0 {
 		t.Errorf("closed %d times in all, %d still listed", closed, len(h.b.closing))
@@ -1148,7 +1148,7 @@
 			h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 100, State: st}}})
 		}
 		h.now += 1000
-		if n := closes(h.do(Event{Kind: EvTimer, Token: h.b.timer}), 100); (n == 1) != (state == Removed) {
+		if n := closes(h.do(Event{Kind: EvTimer, Token: h.b.timerToken}), 100); (n == 1) != (state == Removed) {
 			t.Errorf("state %d: closed %d times", state, n)
 		}
 	}
@@ -1224,18 +1224,18 @@
 					out, took = c.sick, c.took
 				}
 				h.learn(s, 0, out, took)
-				s.ejected, s.run = false, 0
-				h.b.sends.Add(h.now, 1, demandTime)
-				h.b.out = 40
+				s.ejected, s.failureRun = false, 0
+				h.b.sends.Add(h.now, 1, demandTau)
+				h.b.inFlight = 40
 				if h.now >= h.b.limit.reviseAt {
 					h.reviseLimit()
 				}
 				if i == 3000 {
-					before = h.b.limit.most
+					before = h.b.limit.maxInFlight
 				}
 			}
-			if shed := h.b.limit.most < before; shed != c.shed || before < 40 {
-				t.Errorf("room went from %.1f to %.1f", before, h.b.limit.most)
+			if shed := h.b.limit.maxInFlight < before; shed != c.shed || before < 40 {
+				t.Errorf("room went from %.1f to %.1f", before, h.b.limit.maxInFlight)
 			}
 		})
 	}
@@ -1246,7 +1246,7 @@
 	set := plain()
 	set.Limits.Probing, set.ReportField = true, 1
 	h := start(t, set, ids(30)...)
-	h.b.heldMean = 0.5
+	h.b.meanReported = 0.5
 	acts, rounds := h.request(1, 0), 0
 	for len(acts) > 0 && acts[0].Kind == ActProbe {
 		rounds++
@@ -1254,8 +1254,8 @@
 			acts = h.do(Event{Kind: EvProbeResult, Server: p.Server, Outcome: OK, Report: [4]float32{3}, ReportLen: 1})
 		}
 	}
-	if rounds != askMost || len(acts) != 1 || acts[0].Kind != ActSend {
-		t.Errorf("asked %d times, then %+v; want %d times and a send", rounds, acts, askMost)
+	if rounds != maxProbeRounds || len(acts) != 1 || acts[0].Kind != ActSend {
+		t.Errorf("asked %d times, then %+v; want %d times and a send", rounds, acts, maxProbeRounds)
 	}
 }
 
@@ -1266,9 +1266,9 @@
 		set := plain()
 		set.Limits.Probing, set.ReportField, set.Limits.MaxStreams, set.Limits.IdleTimeout = probes, 1, 100, 30000
 		h := start(t, set, ids(40)...)
-		h.b.connLost = 0.5
+		h.b.connFailureRate = 0.5
 		for i, s := range h.b.live {
-			s.linked, s.heard = i%8 == 0, h.now
+			s.connected, s.lastActivity = i%8 == 0, h.now
 		}
 		astray := 0
 		for id := uint32(1); id <= 50; id++ {
@@ -1282,7 +1282,7 @@
 					if (a.Server-100)%8 != 0 {
 						astray++
 					}
-					h.b.connLost = 0.5
+					h.b.connFailureRate = 0.5
 					queue = append(queue, h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Elapsed: 5, RequestDone: true})...)
 				}
 			}
@@ -1299,14 +1299,14 @@
 	set.Limits.IdleTimeout, set.Limits.MaxStreams = 5000, 1
 	h := start(t, set, ids(1)...)
 	s := h.b.live[0]
-	s.linked, s.heard = true, h.b.now
-	if !h.b.linked(s) {
+	s.connected, s.lastActivity = true, h.b.now
+	if !h.b.hasOpenConn(s) {
 		t.Error("a fresh idle connection is not counted on")
 	}
-	if s.out = 1; h.b.linked(s) {
+	if s.inFlight = 1; h.b.hasOpenConn(s) {
 		t.Error("a connection that carries one call is counted on for a second")
 	}
-	if s.out, h.b.now = 0, h.b.now+5001; h.b.linked(s) {
+	if s.inFlight, h.b.now = 0, h.b.now+5001; h.b.hasOpenConn(s) {
 		t.Error("a connection idle for too long is counted on")
 	}
 }
@@ -1315,11 +1315,11 @@
 // could correct the mean.
 func TestSlowClassIsNotStarved(t *testing.T) {
 	h := start(t, plain(), ids(2)...)
-	h.b.classes[2].latency = 900 // the aim is 500
+	h.b.classes[2].meanLatency = 900 // the aim is 500
 	if acts := h.request(1, 2); len(acts) != 1 || acts[0].Kind != ActSend {
 		t.Fatalf("with a free server: %+v", acts)
 	}
-	h.b.limit.most, h.b.limit.reviseAt, h.b.sends = 1, math.Inf(1), stats.Rate{PerSecond: 20, UpdatedAt: h.now}
+	h.b.limit.maxInFlight, h.b.limit.reviseAt, h.b.sends = 1, math.Inf(1), stats.Rate{PerSecond: 20, UpdatedAt: h.now}
 	if acts := h.request(2, 2); len(acts) != 0 {
 		t.Errorf("want the call to wait: %+v", acts)
 	}
@@ -1343,12 +1343,12 @@
 				took *= slow
 			}
 			h.learn(s, 0, OK, took)
-			s.ejected, s.run = false, 0
-			h.b.out = 25
+			s.ejected, s.failureRun = false, 0
+			h.b.inFlight = 25
 			h.reviseLimit()
 		}
-		if rose := h.b.limit.most > h.b.limit.initial; rose != (slow == 1) {
-			t.Errorf("answers %v times slower: room %.1f of %.1f at first", slow, h.b.limit.most, h.b.limit.initial)
+		if rose := h.b.limit.maxInFlight > h.b.limit.initial; rose != (slow == 1) {
+			t.Errorf("answers %v times slower: room %.1f of %.1f at first", slow, h.b.limit.maxInFlight, h.b.limit.initial)
 		}
 	}
 }
@@ -1387,24 +1387,24 @@
 	}{
 		{"the request has ended", func(_ *harness, q *request, _ *server) { q.ended = true }},
 		{"a stream has begun", func(_ *harness, q *request, _ *server) { q.streaming = true }},
-		{"another attempt is out", func(_ *harness, q *request, _ *server) { q.open = 1 }},
-		{"past its due time", func(h *harness, q *request, _ *server) { q.due = h.b.now }},
+		{"another attempt is out", func(_ *harness, q *request, _ *server) { q.inFlight = 1 }},
+		{"past its due time", func(h *harness, q *request, _ *server) { q.deadline = h.b.now }},
 		{"no attempts left", func(_ *harness, q *request, _ *server) { q.attempts = make([]attempt, 3) }},
 		{"the server drains", func(_ *harness, _ *request, s *server) { s.State = Draining }},
 		{"the server is off the list", func(_ *harness, _ *request, s *server) { s.listed = false }},
 		{"a cold server without credit", func(_ *harness, _ *request, s *server) { s.cold, s.credit = true, 0.9 }},
-		{"it may have run", func(_ *harness, q *request, _ *server) { q.class, q.mayRun = 2, true }},
+		{"it may have run", func(_ *harness, q *request, _ *server) { q.class, q.mayHaveRun = 2, true }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			h := start(t, plain(), ids(2)...)
-			fresh := func() *request { return &request{due: h.now + 900, aimAt: h.now + 500} }
+			fresh := func() *request { return &request{deadline: h.now + 900, targetAt: h.now + 500} }
 			if !h.b.send(fresh(), h.b.live[0]) {
 				t.Fatal("a plain send is refused")
 			}
 			q := fresh()
 			c.spoil(h, q, h.b.live[1])
-			before := len(h.b.acts)
-			if h.b.send(q, h.b.live[1]) || len(h.b.acts) != before {
+			before := len(h.b.actions)
+			if h.b.send(q, h.b.live[1]) || len(h.b.actions) != before {
 				t.Error("sent all the same")
 			}
 		})
@@ -1417,17 +1417,17 @@
 	entries := ids(10)
 	entries[9].Started = 1000
 	h := start(t, plain(), entries...)
-	s := h.b.byID[entries[9].Server]
+	s := h.b.servers[entries[9].Server]
 	h.b.arrivals = stats.Rate{PerSecond: 100, UpdatedAt: h.now}
-	h.b.measured, h.b.meanLoad = 1, 1e6
+	h.b.numMeasured, h.b.meanLoad = 1, 1e6
 	for _, age := range []float64{0, 5000, 19999} {
 		h.b.now = 1000 + age
 		warm := 0.2 + 0.8*age/20000
-		if got, most := h.b.loadOf(s), coldPart*10*warm; got > most+1e-9 || got < most/2 {
+		if got, most := h.b.loadFor(s), coldShare*10*warm; got > most+1e-9 || got < most/2 {
 			t.Errorf("age %v: load %v, want %v", age, got, most)
 		}
 	}
-	if h.b.now = 21001; h.b.loadOf(s) < 1e5 {
+	if h.b.now = 21001; h.b.loadFor(s) < 1e5 {
 		t.Error("still bounded when warm")
 	}
 }
@@ -1438,8 +1438,8 @@
 	set := plain()
 	set.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
 	h := start(t, set, ids(4)...)
-	h.b.limit.most, h.b.limit.reviseAt, h.b.sends = 20, math.Inf(1), stats.Rate{PerSecond: 1000, UpdatedAt: h.now}
-	h.b.out = 12
+	h.b.limit.maxInFlight, h.b.limit.reviseAt, h.b.sends = 20, math.Inf(1), stats.Rate{PerSecond: 1000, UpdatedAt: h.now}
+	h.b.inFlight = 12
 	ask := func(id uint32, tenant uint16) []Action {
 		return h.do(Event{Kind: EvRequest, Request: id, Tenant: tenant, Deadline: h.now + 1000})
 	}
@@ -1478,11 +1478,11 @@
 		}
 		h.do(Event{Kind: EvTimer})
 	}
-	if len(h.b.byID) > 2000 || len(h.b.live) != 1000 || len(h.b.closing) > 2000 {
-		t.Errorf("%d servers known, %d live, %d to be closed", len(h.b.byID), len(h.b.live), len(h.b.closing))
+	if len(h.b.servers) > 2000 || len(h.b.live) != 1000 || len(h.b.closing) > 2000 {
+		t.Errorf("%d servers known, %d live, %d to be closed", len(h.b.servers), len(h.b.live), len(h.b.closing))
 	}
-	if len(h.b.requests) != 0 || len(h.b.spare) > 100 || h.b.taken.Len() > 20000 {
-		t.Errorf("%d calls held, %d spare, %d taken", len(h.b.requests), len(h.b.spare), h.b.taken.Len())
+	if len(h.b.requests) != 0 || len(h.b.freeRequests) > 100 || h.b.accepted.Len() > 20000 {
+		t.Errorf("%d calls held, %d spare, %d taken", len(h.b.requests), len(h.b.freeRequests), h.b.accepted.Len())
 	}
 }
 
@@ -1521,10 +1521,10 @@
 		t.Fatalf("want a send: %+v", sent)
 	}
 	for _, s := range h.b.live {
-		s.held, s.heldAt = 5, h.b.now
+		s.reportedCalls, s.reportedAt = 5, h.b.now
 	}
 	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: sent[0].Server, Outcome: Error, Elapsed: 1})
-	for range askMost + 1 {
+	for range maxProbeRounds + 1 {
 		for _, a := range acts {
 			switch a.Kind {
 			case ActRefuse, ActFail:
@@ -1554,8 +1554,8 @@
 			t.Fatalf("hint %v: %+v, want a send", bad, acts)
 		}
 		h.do(Event{Kind: EvOutcome, Request: 2, Server: acts[0].Server, Outcome: OK, Elapsed: bad, RequestDone: true})
-		if b := h.b; len(b.requests) != 0 || !(b.tierLatency >= 0) || !(b.classes[0].latency >= 0) || math.IsInf(b.tierLatency, 0) {
-			t.Errorf("took %v: %d calls held, mean ratio %v", bad, len(b.requests), b.tierLatency)
+		if b := h.b; len(b.requests) != 0 || !(b.tierRatio >= 0) || !(b.classes[0].meanLatency >= 0) || math.IsInf(b.tierRatio, 0) {
+			t.Errorf("took %v: %d calls held, mean ratio %v", bad, len(b.requests), b.tierRatio)
 		}
 	}
 }
@@ -1589,10 +1589,10 @@
 			if h.b.rng.Float64() < 0.2 || bad && i%8 == 3 && h.b.rng.Float64() < 0.75 {
 				out = Reset
 			}
-			h.b.learn(s, 0, out, 50)
+			h.b.recordOutcome(s, 0, out, 50)
 			if s.ejected {
 				ejected[s]++
-				s.unmeasure(h.b.now)
+				s.resetMeasurements(h.b.now)
 				h.b.recount()
 			}
 		}
--- a/limit.go
+++ b/limit.go
@@ -9,68 +9,66 @@
 )
 
 const (
-	leastRatio = 1e-6  // of an answer to its threshold: logarithms have to be finite
-	shedOver   = 1.2   // ratio of p95 to threshold at which the front sheds: tails alone pass 1
-	waitOver   = 1.3   // the front sheds only for waiting: answers take so many times the least mean
-	leastDrift = 0.005 // and that least mean forgets by this share a second
-	relearn    = 0.2   // or by this share a second while the limit is at its start
+	minRatio          = 1e-6  // of latency to threshold: logarithms must be finite
+	shedThreshold     = 1.2   // ratio of p95 to threshold that counts as overload: tails alone pass 1
+	waitThreshold     = 1.3   // ratio of the mean to its baseline that counts as waiting
+	baselineDrift     = 0.005 // the baseline rises by this share per second
+	fastBaselineDrift = 0.2   // at most by this one while the limit is at its initial value
 )
 
-// concurrencyLimit bounds the calls that a copy at the front may have out at once.
+// concurrencyLimit bounds the attempts that a copy at the front may have in flight.
 type concurrencyLimit struct {
-	most      float64 // calls out at once; 0 = not bounded yet
-	initial   float64 // its start: the copies must not overrun an unmeasured tier
-	serving   float64 // servers it is for: ready, not ejected, a cold one in part
-	reviseAt  float64 // time of the next revision
-	leastFrom float64 // the least mean counts from then on
-	mean      float64 // geometric mean ratio of answers to their thresholds
-	answers   int     // that it is of
-	least     float64 // and its least: they tell of waiting
+	maxInFlight  float64 // the limit, in attempts; 0 = not set yet
+	initial      float64 // its first and least value: the copies must not overload an unmeasured tier
+	servers      float64 // servers that it is scaled to: those in the limit, a cold one by its capacity
+	reviseAt     float64 // time of the next revision
+	baselineFrom float64 // the baseline is kept from then on
+	meanRatio    float64 // geometric mean of latencies over their thresholds
+	answerCount  int     // number of answers in meanRatio
+	baseline     float64 // smallest meanRatio, which rises slowly; the mean over it shows waiting
 }
 
-// follow has the limit follow the servers that serve, both ways.
-func (l *concurrencyLimit) follow(serving float64) {
-	l.most *= serving / cmp.Or(l.serving, serving)
-	l.serving = serving
+// scaleTo scales the limit with the number of servers, up and down.
+func (l *concurrencyLimit) scaleTo(servers float64) {
+	l.maxInFlight *= servers / cmp.Or(l.servers, servers)
+	l.servers = servers
 }
 
-// observe takes in the time of an answer, as a ratio to its threshold. The mean of them is the geometric one:
-// waiting at servers moves all answers, the network and connections that break move few, but by much.
+// observe adds a ratio. The mean is geometric: waiting delays all answers, the network few but by much.
 func (l *concurrencyLimit) observe(now, ratio float64) {
-	ratio = min(max(ratio, leastRatio), failRatio)
-	l.answers++
-	l.mean = cmp.Or(l.mean, ratio)
-	l.mean *= math.Pow(ratio/l.mean, max(latencyGain, 1/float64(l.answers)))
-	if now > l.leastFrom { // the first answers are the quick ones
-		l.least = min(l.least, l.mean)
+	ratio = min(max(ratio, minRatio), failureRatio)
+	l.answerCount++
+	l.meanRatio = cmp.Or(l.meanRatio, ratio)
+	l.meanRatio *= math.Pow(ratio/l.meanRatio, max(latencyGain, 1/float64(l.answerCount)))
+	if now > l.baselineFrom { // the first answers are unusually fast
+		l.baseline = min(l.baseline, l.meanRatio)
 	}
 }
 
-// revise applies the paper's rule to the calls that may be out at once, each second: ten are too long for an
-// overload. Two signs tell of waiting: slow answers, and a mean well over its least. It sheds when both do,
-// and rises by the mean (by slow answers till there is a least): either lags behind the calls that are out,
-// and servers once driven over stay slow for long. At its start the limit leaves no waiting that this copy
-// makes: a mean that stays over its least there, with no slow answers, is what the least has become.
-func (l *concurrencyLimit) revise(out, p95 float64, ok bool, ratios []float64) {
-	l.most = cmp.Or(l.most, l.initial)
-	waits, slow := l.mean/(waitOver*l.least), p95/shedOver
-	if math.IsInf(l.least, 1) {
-		waits = slow
+// revise applies SMACE's rule to the limit each second: 10 s are too long in an overload. Signs of waiting
+// are slow answers and a mean well above its baseline. With both the limit falls; it rises by the mean
+// (without a baseline, by slow answers): both lag behind the load, and overloaded servers stay slow. At its
+// initial value it causes no waiting: a mean that stays high then, without slow answers, is the new baseline.
+func (l *concurrencyLimit) revise(inFlight, p95 float64, ok bool, ratios []float64) {
+	l.maxInFlight = cmp.Or(l.maxInFlight, l.initial)
+	waiting, tail := l.meanRatio/(waitThreshold*l.baseline), p95/shedThreshold
+	if math.IsInf(l.baseline, 1) {
+		waiting = tail
 	}
-	l.least *= 1 + leastDrift
-	if l.most <= l.initial && ok && slow <= 1 && l.mean > l.least {
-		l.least = min(l.least*(1+relearn), l.mean)
+	l.baseline *= 1 + baselineDrift
+	if l.maxInFlight <= l.initial && ok && tail <= 1 && l.meanRatio > l.baseline {
+		l.baseline = min(l.baseline*(1+fastBaselineDrift), l.meanRatio)
 	}
 	switch {
-	case len(ratios) == 0 || !ok && math.IsInf(l.least, 1): // nothing measured
-	case waits > 1 && (slow > 1 || !ok):
-		good, _ := slices.BinarySearch(ratios, shedOver)
-		part := float64(good) / float64(len(ratios))
-		most := min(l.most, max(out, l.most/headroom))
-		l.most = max(l.initial, decreaseTo*part*most)
+	case len(ratios) == 0 || !ok && math.IsInf(l.baseline, 1): // nothing measured
+	case waiting > 1 && (tail > 1 || !ok):
+		within, _ := slices.BinarySearch(ratios, shedThreshold)
+		goodShare := float64(within) / float64(len(ratios))
+		bound := min(l.maxInFlight, max(inFlight, l.maxInFlight/headroom))
+		l.maxInFlight = max(l.initial, decreaseFactor*goodShare*bound)
 	default:
-		rise := math.Sqrt(1 + max(0, 1-waits*waits))
-		most := max(l.most, l.initial, headroom*(out+1))
-		l.most = min(l.most*rise, most)
+		rise := math.Sqrt(1 + max(0, 1-waiting*waiting))
+		bound := max(l.maxInFlight, l.initial, headroom*(inFlight+1))
+		l.maxInFlight = min(l.maxInFlight*rise, bound)
 	}
 }
--- a/limit_test.go
+++ b/limit_test.go
@@ -23,11 +23,11 @@
 			service, took, fresh := answer(i)
 			h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Elapsed: took, ServiceTime: service, NewConnection: fresh, RequestDone: true})
 		}
-		h.b.out = int(h.b.limit.most) // as many as may be are out, so that the limit may rise
+		h.b.inFlight = int(h.b.limit.maxInFlight) // as many as may be are out, so that the limit may rise
 		if h.now+20 >= h.b.limit.reviseAt {
 			h.reviseLimit()
 		}
-		h.b.out = 0
+		h.b.inFlight = 0
 	}
 	return h
 }
@@ -56,11 +56,11 @@
 			}
 			return c.delayed(i)
 		})
-		before := h.b.limit.most
-		h.b.limit.most, h.b.out = 4*h.b.limit.initial, int(4*h.b.limit.initial)
-		if h.reviseLimit(); (h.b.limit.most > 4*h.b.limit.initial) != c.rises {
+		before := h.b.limit.maxInFlight
+		h.b.limit.maxInFlight, h.b.inFlight = 4*h.b.limit.initial, int(4*h.b.limit.initial)
+		if h.reviseLimit(); (h.b.limit.maxInFlight > 4*h.b.limit.initial) != c.rises {
 			t.Errorf("%s: limit %.1f after %.1f, mean %.3f of %.3f; rises: want %v", name,
-				h.b.limit.most, 4*h.b.limit.initial, h.b.limit.mean, h.b.limit.least, c.rises)
+				h.b.limit.maxInFlight, 4*h.b.limit.initial, h.b.limit.meanRatio, h.b.limit.baseline, c.rises)
 		}
 		if before < h.b.limit.initial {
 			t.Errorf("%s: limit %.1f is under its start %.1f", name, before, h.b.limit.initial)
@@ -72,7 +72,7 @@
 // aim, must not keep it there for good; slow ones must.
 func TestTheLimitLeavesItsStart(t *testing.T) {
 	for took, rises := range map[float64]bool{60: true, 450: false} {
-		l := concurrencyLimit{initial: 5, least: math.Inf(1)}
+		l := concurrencyLimit{initial: 5, baseline: math.Inf(1)}
 		for i := range 2000 {
 			ratio := took / 350
 			if i < 100 {
@@ -80,11 +80,11 @@
 			}
 			l.observe(float64(1000+20*i), ratio)
 			if i >= 100 && i%50 == 0 {
-				l.revise(l.most, ratio, true, []float64{ratio})
+				l.revise(l.maxInFlight, ratio, true, []float64{ratio})
 			}
 		}
-		if l.most > l.initial != rises {
-			t.Errorf("answers in %v ms: limit %.1f of %.1f at first, mean %.3f of %.3f", took, l.most, l.initial, l.mean, l.least)
+		if l.maxInFlight > l.initial != rises {
+			t.Errorf("answers in %v ms: limit %.1f of %.1f at first, mean %.3f of %.3f", took, l.maxInFlight, l.initial, l.meanRatio, l.baseline)
 		}
 	}
 }
@@ -93,7 +93,7 @@
 // many may wait for connections as may be out.
 func TestConnectingCallsHoldNoPlace(t *testing.T) {
 	h := start(t, plain(), ids(2)...)
-	h.b.limit.most, h.b.limit.reviseAt = 2, math.Inf(1)
+	h.b.limit.maxInFlight, h.b.limit.reviseAt = 2, math.Inf(1)
 	h.b.sends.PerSecond, h.b.sends.UpdatedAt = 100, h.now
 	sent := map[uint32]uint32{}
 	note := func(acts []Action) {
@@ -108,21 +108,21 @@
 		note(h.do(Event{Kind: EvConnecting, Request: id}))
 		note(h.do(Event{Kind: EvConnecting, Request: id})) // told twice, it counts once
 	}
-	if len(sent) != 2 || h.b.out != 0 || h.b.connecting != 2 {
-		t.Fatalf("%d sent, %d out, %d connecting; want 2, 0 and 2", len(sent), h.b.out, h.b.connecting)
+	if len(sent) != 2 || h.b.inFlight != 0 || h.b.connecting != 2 {
+		t.Fatalf("%d sent, %d out, %d connecting; want 2, 0 and 2", len(sent), h.b.inFlight, h.b.connecting)
 	}
 	note(h.do(Event{Kind: EvConnected, Request: 1}))
-	if len(sent) != 3 || h.b.out != 2 || h.b.connecting != 1 {
-		t.Errorf("%d sent, %d out, %d connecting; want 3, 2 and 1", len(sent), h.b.out, h.b.connecting)
+	if len(sent) != 3 || h.b.inFlight != 2 || h.b.connecting != 1 {
+		t.Errorf("%d sent, %d out, %d connecting; want 3, 2 and 1", len(sent), h.b.inFlight, h.b.connecting)
 	}
 	h.do(Event{Kind: EvOutcome, Request: 2, Server: sent[2], Outcome: ConnectFailed})
 	h.do(Event{Kind: EvConnected, Request: 2, Attempt: 0}) // overtaken by the outcome
 	h.do(Event{Kind: EvConnected, Request: 99})
 	out, connecting := 0, 0
 	for _, s := range h.b.live {
-		out, connecting = out+s.out, connecting+s.connecting
+		out, connecting = out+s.inFlight, connecting+s.connecting
 	}
-	if h.b.connecting != connecting || h.b.out != out-connecting {
-		t.Errorf("%d out and %d connecting, want %d and %d", h.b.out, h.b.connecting, out-connecting, connecting)
+	if h.b.connecting != connecting || h.b.inFlight != out-connecting {
+		t.Errorf("%d out and %d connecting, want %d and %d", h.b.inFlight, h.b.connecting, out-connecting, connecting)
 	}
 }
--- a/property_test.go
+++ b/property_test.go
@@ -374,8 +374,8 @@
 				sends++
 			}
 		}
-		if len(w.order) != 0 || len(w.b.requests) != 0 || w.b.out != 0 {
-			t.Errorf("seed %d: %d calls open, %d held, %d out", seed, len(w.order), len(w.b.requests), w.b.out)
+		if len(w.order) != 0 || len(w.b.requests) != 0 || w.b.inFlight != 0 {
+			t.Errorf("seed %d: %d calls open, %d held, %d out", seed, len(w.order), len(w.b.requests), w.b.inFlight)
 		}
 	}
 	if sends < 5000 {
--- a/ramp_test.go
+++ b/ramp_test.go
@@ -288,7 +288,7 @@
 			}
 			t.Run(traffic+"/"+day.name, func(t *testing.T) {
 				t.Parallel()
-				few, least := 0.0, coldPart/3
+				few, least := 0.0, coldShare/3
 				if day.herds > 0 {
 					least /= 2 // a new copy gives no part before it has seen calls come
 				}
@@ -319,7 +319,7 @@
 	t.Parallel()
 	day := coldDay{servers: 20, cold: 20, rate: 240, start: true}
 	for _, copies := range []int{2, 10, 30, 100, 300} {
-		if worst, _, useful := playAll(t, day, copies, 1); worst > 1 || useful < coldPart/2 {
+		if worst, _, useful := playAll(t, day, copies, 1); worst > 1 || useful < coldShare/2 {
 			t.Errorf("%d copies: worst %.2f of what a server bears, useful %.2f", copies, worst, useful)
 		}
 	}
@@ -335,7 +335,7 @@
 			for rank := range c.copies {
 				r := newRamp(&Settings{Copies: c.copies, Rank: rank}, &ServerEntry{Server: 5, Started: 1e12}, 0)
 				weight := r.weight(c.copies, c.servers, warm)
-				sum, places[r.place] = sum+weight, true
+				sum, places[r.position] = sum+weight, true
 				if weight > 0 {
 					phases = append(phases, r.phase())
 				} else if warm == 0 {
@@ -361,8 +361,8 @@
 	set.Safety.RampTime = 0
 	h := start(t, set, ServerEntry{Server: 1, Started: 5000})
 	h.request(1, 0)
-	if s := h.b.byID[1]; math.IsNaN(h.b.loadOf(s)) || math.IsNaN(s.credit) {
-		t.Errorf("load %v, credit %v", h.b.loadOf(s), s.credit)
+	if s := h.b.servers[1]; math.IsNaN(h.b.loadFor(s)) || math.IsNaN(s.credit) {
+		t.Errorf("load %v, credit %v", h.b.loadFor(s), s.credit)
 	}
 }
 
@@ -373,10 +373,10 @@
 	if credit != 1.3 {
 		t.Fatalf("credit %v, want 1.3", credit)
 	}
-	if credit = r.refill(credit, 0, 1, 1000+creditTime); credit != 1.3 {
+	if credit = r.refill(credit, 0, 1, 1000+creditLifetime); credit != 1.3 {
 		t.Errorf("credit %v within the time, want 1.3", credit)
 	}
-	if credit = r.refill(credit, 0.1, 1, 1001+creditTime); math.Abs(credit-0.4) > 1e-9 {
+	if credit = r.refill(credit, 0.1, 1, 1001+creditLifetime); math.Abs(credit-0.4) > 1e-9 {
 		t.Errorf("credit %v after it, want 0.4", credit)
 	}
 	if credit = r.refill(0.4, 7, 1, 2000); math.Abs(credit-1.4) > 1e-9 {
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -14,8 +14,8 @@
 // reconfigure puts the settings in force with an edit and returns the actions that are not timers or logs.
 func (h *harness) reconfigure(edit func(*Settings)) []Action {
 	h.t.Helper()
-	set := h.b.set
-	if !h.b.budgetTold { // it holds the module's own figures
+	set := h.b.cfg
+	if !h.b.budgetConfigured { // it holds the module's own figures
 		set.Safety.RetryBudgetMin, set.Safety.RetryBudgetRatio, set.Safety.RetryBudgetWindow = 0, 0, 0
 	}
 	set.Classes, set.Tenants = slices.Clone(set.Classes), slices.Clone(set.Tenants)
@@ -84,10 +84,10 @@
 	}
 	untouched.do(Event{Kind: EvTimer, Token: math.MaxUint64}) // an event at which nothing happens
 	h.b.sweepAt, untouched.b.sweepAt = 0, 0                   // when it looks next
-	h.b.acts, untouched.b.acts, h.b.scratch, untouched.b.scratch = nil, nil, nil, nil
-	for i := range h.b.tenants {
+	h.b.actions, untouched.b.actions, h.b.scratch, untouched.b.scratch = nil, nil, nil, nil
+	for i := range h.b.quotas {
 		for _, b := range []*Balancer{h.b, untouched.b} { // refilled up to now or later, it is the same bucket
-			t := &b.tenants[i]
+			t := &b.quotas[i]
 			t.Tokens, t.UpdatedAt = math.Round(1e6*t.Available(b.now)), b.now
 		}
 	}
@@ -163,12 +163,12 @@
 	h := start(t, plain(), ServerEntry{Server: 1})
 	h.request(5, 0)
 	h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 2, Cell: 1}, {Server: 3}}})
-	h.b.byID[3].State = Draining // the second attempt goes to the other cell
+	h.b.servers[3].State = Draining // the second attempt goes to the other cell
 	acts := h.do(Event{Kind: EvOutcome, Request: 5, Server: 1, Outcome: Reset, Elapsed: 5})
 	if len(acts) != 1 || acts[0].Server != 2 {
 		t.Fatalf("second attempt: %+v", acts)
 	}
-	h.b.byID[3].State = Ready
+	h.b.servers[3].State = Ready
 	h.reconfigure(func(s *Settings) {
 		s.Classes[0].Effect, s.Classes[0].DedupWindow, s.Classes[0].Scope = Keyed, 900, ScopeCell
 	})
@@ -183,7 +183,7 @@
 	h := start(t, plain(), ids(2)...)
 	h.b.limit.reviseAt = math.Inf(1)
 	h.request(1, 0)
-	h.b.limit.most = 0 // crowded from here on
+	h.b.limit.maxInFlight = 0 // crowded from here on
 	if acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: Reset, Elapsed: 5}); len(acts) > 0 {
 		t.Fatalf("it must wait: %+v", acts)
 	}
@@ -192,7 +192,7 @@
 	if len(acts) != 1 || acts[0].Kind != ActFail || acts[0].Request != 1 {
 		t.Errorf("%+v, want that request 1 has failed", acts)
 	}
-	h.b.limit.most = 9
+	h.b.limit.maxInFlight = 9
 	if acts := h.do(Event{Kind: EvTimer}); len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Request != 2 {
 		t.Errorf("%+v, want that request 2 goes out", acts)
 	}
@@ -202,7 +202,7 @@
 func TestClassesGoByName(t *testing.T) {
 	h := start(t, plain(), ids(3)...)
 	for i := range h.b.classes {
-		h.b.classes[i].latency, h.b.classes[i].served = float64(10*(i+1)), 0.5+0.1*float64(i)
+		h.b.classes[i].meanLatency, h.b.classes[i].servedShare = float64(10*(i+1)), 0.5+0.1*float64(i)
 	}
 	h.request(1, 0)
 	h.request(2, 2)
@@ -211,13 +211,13 @@
 		s.Classes = []Class{{Name: "new", Value: 1, TargetLatency: 100, Timeout: 300}, old[2], old[1]}
 	})
 	c := h.b.classes
-	if c[0].latency != 0 || c[0].served != 1 || c[1].latency != 30 || c[1].served != 0.7 || c[2].latency != 20 {
+	if c[0].meanLatency != 0 || c[0].servedShare != 1 || c[1].meanLatency != 30 || c[1].servedShare != 0.7 || c[2].meanLatency != 20 {
 		t.Errorf("learned %+v", c)
 	}
 	if q := h.b.requests[2]; c[q.class].Name != "book" || q.class != 1 {
 		t.Errorf("request 2 is of class %d", q.class)
 	}
-	if q := h.b.requests[1]; c[q.class].Name != "read" || c[q.class].latency != 10 {
+	if q := h.b.requests[1]; c[q.class].Name != "read" || c[q.class].meanLatency != 10 {
 		t.Errorf("request 1, whose class is gone, is of %+v", c[q.class])
 	}
 	if acts := h.request(3, 3); len(acts) > 0 { // the number of the class that is gone is none for new ones
@@ -242,31 +242,31 @@
 	h := busy(t)
 	was := *h.b
 	server := *h.b.live[0]
-	due, aimAt := h.b.requests[60].due, h.b.requests[60].aimAt
+	due, aimAt := h.b.requests[60].deadline, h.b.requests[60].targetAt
 	h.reconfigure(func(s *Settings) {
 		for i := range s.Classes {
 			s.Classes[i].TargetLatency, s.Classes[i].Timeout = s.Classes[i].TargetLatency/2, 100
 		}
 	})
 	s := h.b.live[0]
-	if s.load != server.load || s.credit < server.credit || s.count != server.count || s.samples != server.samples || s.good != server.good {
+	if s.load != server.load || s.credit < server.credit || s.sampleCount != server.sampleCount || s.samples != server.samples || s.successes != server.successes {
 		t.Error("what was learned of a server is lost")
 	}
-	if h.b.limit.most != was.limit.most || h.b.pooled != was.pooled || h.b.sends != was.sends || h.b.taken.Len() != was.taken.Len() {
+	if h.b.limit.maxInFlight != was.limit.maxInFlight || h.b.poolCount != was.poolCount || h.b.sends != was.sends || h.b.accepted.Len() != was.accepted.Len() {
 		t.Error("what was learned of the tier is lost")
 	}
-	if q := h.b.requests[60]; q.due != due || q.aimAt != aimAt {
-		t.Errorf("an open request is due at %v, before %v", q.due, due)
+	if q := h.b.requests[60]; q.deadline != due || q.targetAt != aimAt {
+		t.Errorf("an open request is due at %v, before %v", q.deadline, due)
 	}
-	if got := h.b.tierLatency / was.tierLatency; math.Abs(got-2) > 1e-9 || math.Abs(s.meanLatency/server.meanLatency-2) > 1e-9 {
+	if got := h.b.tierRatio / was.tierRatio; math.Abs(got-2) > 1e-9 || math.Abs(s.meanRatio/server.meanRatio-2) > 1e-9 {
 		t.Errorf("mean ratio %v of before, want 2 with half the threshold", got)
 	}
-	h.b.learn(s, 0, OK, 200) // the aim is 250, the threshold 175
-	if last := s.samples[(s.count-1)%ringSize]; math.Abs(last.Value-200/175.0) > 1e-9 {
+	h.b.recordOutcome(s, 0, OK, 200) // the aim is 250, the threshold 175
+	if last := s.samples[(s.sampleCount-1)%ringSize]; math.Abs(last.Value-200/175.0) > 1e-9 {
 		t.Errorf("ratio %v", last.Value)
 	}
-	if h.b.meanAim != 250 || h.b.silence != 175 {
-		t.Errorf("mean aim %v, silence %v", h.b.meanAim, h.b.silence)
+	if h.b.meanTarget != 250 || h.b.maxThreshold != 175 {
+		t.Errorf("mean aim %v, silence %v", h.b.meanTarget, h.b.maxThreshold)
 	}
 }
 
@@ -275,7 +275,7 @@
 	set := plain()
 	set.Tenants = []Tenant{{"a", 10}, {"b", 40}, {"c", 0}}
 	h := start(t, set, ids(1)...)
-	h.b.tenants[0].Tokens, h.b.tenants[1].Tokens = 3, 60
+	h.b.quotas[0].Tokens, h.b.quotas[1].Tokens = 3, 60
 	h.now += 100 // b gets 4, a gets 1
 	h.b.Handle(h.now, &Event{Kind: EvTimer}, nil)
 	h.reconfigure(func(s *Settings) { s.Tenants = []Tenant{{"new", 7}, {"b", 20}, {"a", 100}, {"c", 5}} })
@@ -283,7 +283,7 @@
 		{Tokens: 14, UpdatedAt: h.now, Rate: 7, Capacity: 14}, {Tokens: 40, UpdatedAt: h.now, Rate: 20, Capacity: 40},
 		{Tokens: 4, UpdatedAt: h.now, Rate: 100, Capacity: 200}, {Tokens: 10, UpdatedAt: h.now, Rate: 5, Capacity: 10},
 	} {
-		if got := h.b.tenants[i]; math.Abs(got.Tokens-want.Tokens) > 1e-9 || got.Rate != want.Rate || got.Capacity != want.Capacity || got.UpdatedAt != want.UpdatedAt {
+		if got := h.b.quotas[i]; math.Abs(got.Tokens-want.Tokens) > 1e-9 || got.Rate != want.Rate || got.Capacity != want.Capacity || got.UpdatedAt != want.UpdatedAt {
 			t.Errorf("bucket %d: %+v, want %+v", i, got, want)
 		}
 	}
@@ -303,8 +303,8 @@
 	h.reconfigure(change)
 	for i, s := range h.b.live {
 		f := fresh.b.live[i]
-		if s.subsetShare != f.subsetShare || s.ramp.place != f.ramp.place || s.cold != f.cold {
-			t.Errorf("server %d: share %v and place %d, want %v and %d", s.Server, s.subsetShare, s.ramp.place, f.subsetShare, f.ramp.place)
+		if s.subsetShare != f.subsetShare || s.ramp.position != f.ramp.position || s.cold != f.cold {
+			t.Errorf("server %d: share %v and place %d, want %v and %d", s.Server, s.subsetShare, s.ramp.position, f.subsetShare, f.ramp.position)
 		}
 	}
 	if h.b.limit.initial != fresh.b.limit.initial {
@@ -334,7 +334,7 @@
 		set := plain()
 		set.Limits.CancelAttempts = true
 		h := start(t, set, ids(3)...)
-		h.b.classes[0].latency = 10
+		h.b.classes[0].meanLatency = 10
 		h.request(1, 0)
 		h.reconfigure(func(s *Settings) { s.Limits.CancelAttempts = false })
 		h.now += 200
@@ -346,7 +346,7 @@
 		set := plain()
 		set.Limits.CancelAttempts = true
 		h := start(t, set, ids(3)...)
-		h.b.classes[0].latency = 10
+		h.b.classes[0].meanLatency = 10
 		h.request(1, 0)
 		h.reconfigure(func(s *Settings) { s.Classes[0].Effect = Unsafe })
 		h.now += 200
@@ -376,7 +376,7 @@
 		h := start(t, plain(), servers...)
 		h.reconfigure(func(s *Settings) { s.Safety.RampTime = 50 }) // it is over
 		h.request(1, 0)
-		if h.b.byID[100].cold {
+		if h.b.servers[100].cold {
 			t.Error("a server is cold past the new time")
 		}
 	})
@@ -451,8 +451,8 @@
 		}
 		for !w.reconfigure() {
 		}
-		if len(w.order) != 0 || len(w.b.requests) != 0 || w.b.out != 0 || len(w.b.classes) != len(w.set.Classes) {
-			t.Errorf("seed %d: %d calls open, %d held, %d out, %d classes", seed, len(w.order), len(w.b.requests), w.b.out, len(w.b.classes))
+		if len(w.order) != 0 || len(w.b.requests) != 0 || w.b.inFlight != 0 || len(w.b.classes) != len(w.set.Classes) {
+			t.Errorf("seed %d: %d calls open, %d held, %d out, %d classes", seed, len(w.order), len(w.b.requests), w.b.inFlight, len(w.b.classes))
 		}
 	}
 	if sends < 4000 || retired < 500 {
@@ -463,7 +463,7 @@
 // Calls that wait are looked through at once: by the new settings one may have to go out sooner, or end.
 func TestWaitingCallsAreLookedThrough(t *testing.T) {
 	h := start(t, plain(), ids(1)...)
-	h.b.limit.reviseAt, h.b.limit.most, h.b.classes[0].latency = math.Inf(1), 0, 400
+	h.b.limit.reviseAt, h.b.limit.maxInFlight, h.b.classes[0].meanLatency = math.Inf(1), 0, 400
 	h.request(1, 0) // its aim is in 500 ms, and its answer takes 350 of them at most
 	h.reconfigure(func(s *Settings) { s.Classes[0].TargetLatency = 900 })
 	h.now += 120
--- a/retry.go
+++ b/retry.go
@@ -7,88 +7,88 @@
 	"slices"
 )
 
-// Whether and where a request may have a further attempt, and when an attempt is given up for one, is here.
+// This file decides whether and where a request may be repeated, and when an attempt is cancelled for that.
 
-// hedgeTimer is an attempt that may have gone to a server that is silent, and when to look.
-type hedgeTimer struct {
+// attemptTimer is the time to check whether the server of an attempt is unresponsive.
+type attemptTimer struct {
 	at      float64
 	request uint32
 	attempt uint16
 }
 
-// tryTimeout is how long a call waits for a server that says nothing; 0 = to its end. An inner copy hears of
-// each server too seldom to tell, but for an ejected one; a call that may not run twice is not sent twice.
-func (b *Balancer) tryTimeout(q *request, s *server) float64 {
-	if b.set.Stage > 0 && !s.ejected || !b.set.Limits.CancelAttempts || b.classes[q.class].Effect != Safe {
+// attemptTimeout is how long an attempt waits for an unresponsive server; 0 = until its deadline. An inner
+// copy hears from a server too seldom to judge, except from an ejected one. Only safe requests may run twice.
+func (b *Balancer) attemptTimeout(q *request, s *server) float64 {
+	if b.cfg.Stage > 0 && !s.ejected || !b.cfg.Limits.CancelAttempts || b.classes[q.class].Effect != Safe {
 		return 0
 	}
-	return tryTimeoutMeans * b.classes[q.class].latency
+	return attemptTimeoutFactor * b.classes[q.class].meanLatency
 }
 
-// setHedge notes when to look after an attempt.
-func (b *Balancer) setHedge(d hedgeTimer) {
-	later := func(o, d hedgeTimer) int { return cmp.Compare(o.at, d.at) }
-	place, _ := slices.BinarySearchFunc(b.hedgeTimers, d, later)
-	b.hedgeTimers = slices.Insert(b.hedgeTimers, place, d)
+// addAttemptTimer inserts a timer in order of time.
+func (b *Balancer) addAttemptTimer(timer attemptTimer) {
+	byTime := func(x, y attemptTimer) int { return cmp.Compare(x.at, y.at) }
+	index, _ := slices.BinarySearchFunc(b.attemptTimers, timer, byTime)
+	b.attemptTimers = slices.Insert(b.attemptTimers, index, timer)
 }
 
-// callOffSilent calls off attempts at servers that have said nothing since, while there is time for others.
-// One that answers other calls is only slow: a further attempt would add to its load.
-func (b *Balancer) callOffSilent() {
-	for len(b.hedgeTimers) > 0 && b.hedgeTimers[0].at <= b.now {
-		d := b.hedgeTimers[0]
-		b.hedgeTimers = slices.Delete(b.hedgeTimers, 0, 1)
-		q := b.requests[d.request]
-		if q == nil || q.ended || q.streaming || !q.attempts[d.attempt].open {
+// cancelUnresponsive cancels attempts at servers that were silent since, while there is time for others. A
+// server that answers other requests is only slow: a further attempt would add to its load.
+func (b *Balancer) cancelUnresponsive() {
+	for len(b.attemptTimers) > 0 && b.attemptTimers[0].at <= b.now {
+		timer := b.attemptTimers[0]
+		b.attemptTimers = slices.Delete(b.attemptTimers, 0, 1)
+		q := b.requests[timer.request]
+		if q == nil || q.ended || q.streaming || !q.attempts[timer.attempt].open {
 			continue
 		}
-		a := &q.attempts[d.attempt]
-		wait := b.tryTimeout(q, a.server) // 0 if its class has changed
-		if at := max(a.sentAt, a.server.heard) + wait; at > b.now {
-			b.setHedge(hedgeTimer{at, d.request, d.attempt})
-		} else if wait > 0 && b.now < b.lastStart(q) && len(q.attempts) < b.set.Limits.MaxAttempts {
-			a.silent = true
-			b.acts = append(b.acts, Action{Kind: ActCancel, Request: q.id, Attempt: d.attempt})
+		a := &q.attempts[timer.attempt]
+		timeout := b.attemptTimeout(q, a.server) // 0 if its class has changed
+		if at := max(a.sentAt, a.server.lastActivity) + timeout; at > b.now {
+			b.addAttemptTimer(attemptTimer{at, timer.request, timer.attempt})
+		} else if timeout > 0 && b.now < b.lastUsefulSend(q) && len(q.attempts) < b.cfg.Limits.MaxAttempts {
+			a.abandoned = true
+			b.actions = append(b.actions, Action{Kind: ActCancel, Request: q.id, Attempt: timer.attempt})
 		}
 	}
 }
 
-// mayTry tells whether the rules let this call have an attempt now, at any server.
-func (b *Balancer) mayTry(q *request) bool {
-	if q.ended || q.streaming || q.open > 0 || b.now >= q.due || len(q.attempts) >= b.set.Limits.MaxAttempts {
+// mayAttempt reports whether the rules allow the request an attempt now, at any server.
+func (b *Balancer) mayAttempt(q *request) bool {
+	if q.ended || q.streaming || q.inFlight > 0 || b.now >= q.deadline ||
+		len(q.attempts) >= b.cfg.Limits.MaxAttempts {
 		return false
 	}
-	return !b.counted(q) || b.budgetLeft() >= 1
+	return !b.usesBudget(q) || b.budgetLeft() >= 1
 }
 
-// counted tells whether the next attempt comes out of the retry budget. Where the site states one,
-// every attempt but the first does, also after an outcome that proves that nothing ran.
-func (b *Balancer) counted(q *request) bool {
-	return len(q.attempts) > 0 && (b.budgetTold || q.mayRun)
+// usesBudget reports whether the next attempt counts. A set budget also counts what surely did not run.
+func (b *Balancer) usesBudget(q *request) bool {
+	return len(q.attempts) > 0 && (b.budgetConfigured || q.mayHaveRun)
 }
 
-// budgetLeft is how many further attempts may be made now. The window is exact: a bucket that refills
-// lets a full one and its refill through within one window.
+// budgetLeft is the number of repeats allowed now. A token bucket would add its refill within the window.
 func (b *Balancer) budgetLeft() float64 {
-	f := &b.set.Safety
-	taken, made := b.taken.Since(b.now-f.RetryBudgetWindow), b.further.Since(b.now-f.RetryBudgetWindow)
-	return f.RetryBudgetMin + f.RetryBudgetRatio*float64(taken) - float64(made)
+	safety := &b.cfg.Safety
+	accepted, retries := b.accepted.Since(b.now-safety.RetryBudgetWindow),
+		b.retries.Since(b.now-safety.RetryBudgetWindow)
+	return safety.RetryBudgetMin + safety.RetryBudgetRatio*float64(accepted) - float64(retries)
 }
 
-// permitted tells whether the rules let a call that may have an attempt have it at this server.
-func (b *Balancer) permitted(q *request, s *server) bool {
+// mayUse reports whether the rules allow a request that may have an attempt to have it at this server.
+func (b *Balancer) mayUse(q *request, s *server) bool {
 	if !s.ready() || s.cold && s.credit < 1 {
 		return false
 	}
 	c := &b.classes[q.class]
-	if !q.mayRun || c.Effect == Safe {
+	if !q.mayHaveRun || c.Effect == Safe {
 		return true
 	}
-	outside := func(a attempt) bool { return a.sentAt >= q.firstRun && !c.Scope.remembers(&a, s) }
-	return c.Effect == Keyed && b.now < q.firstRun+c.DedupWindow && !slices.ContainsFunc(q.attempts, outside)
+	beyond := func(a attempt) bool { return a.sentAt >= q.firstRunAt && !c.Scope.remembers(&a, s) }
+	return c.Effect == Keyed && b.now < q.firstRunAt+c.DedupWindow && !slices.ContainsFunc(q.attempts, beyond)
 }
 
-// remembers tells whether a server is in the group that an attempt was sent to.
+// remembers reports whether a server is in the scope to which an attempt was sent.
 func (g DedupScope) remembers(a *attempt, s *server) bool {
 	return (g&ScopeZone == 0 || a.zone == s.Zone) && (g&ScopeCell == 0 || a.cell == s.Cell)
 }
--- a/scale_test.go
+++ b/scale_test.go
@@ -34,8 +34,8 @@
 			}
 		}
 	}
-	if len(b.live) != many || len(b.byID) != many || len(b.requests) != 0 {
-		t.Fatalf("%d servers live of %d known, %d requests open", len(b.live), len(b.byID), len(b.requests))
+	if len(b.live) != many || len(b.servers) != many || len(b.requests) != 0 {
+		t.Fatalf("%d servers live of %d known, %d requests open", len(b.live), len(b.servers), len(b.requests))
 	}
 	if len(used) == 0 {
 		t.Error("nothing was sent")
@@ -55,8 +55,8 @@
 		t.Errorf("%d servers live once all have come back", len(b.live))
 	}
 	b.Handle(now, &Event{Kind: EvList, List: ListFull, Servers: servers[:1]}, nil)
-	if len(b.live) != 1 || len(b.byID) != 1 {
-		t.Errorf("%d servers live of %d known after a whole list of one", len(b.live), len(b.byID))
+	if len(b.live) != 1 || len(b.servers) != 1 {
+		t.Errorf("%d servers live of %d known after a whole list of one", len(b.live), len(b.servers))
 	}
 }
 
