--- a/discovery_test.go
+++ b/discovery_test.go
@@ -5,119 +5,120 @@
 	"testing"
 )
 
-// asking is a copy whose list is asked for; ask gives the time of its next call, with nothing else happening.
-type asking struct {
-	b     *Balancer
-	now   float64
-	timer Action
+// poller is a copy that polls its list. nextPoll advances the clock to its next poll, without other events.
+type poller struct {
+	balancer *Balancer
+	now      float64
+	timer    Action
 }
 
-func newAsking(t *testing.T, copies, rank, stage int) *asking {
+func newPoller(t *testing.T, copies, rank, stage int) *poller {
 	t.Helper()
-	set := plain()
-	set.PollList, set.Copies, set.Rank, set.Stage, set.Stages = true, copies, rank, stage, 2
-	a := &asking{now: 1.7e12}
+	settings := testSettings()
+	settings.PollList, settings.Copies, settings.Rank, settings.Stage, settings.Stages = true, copies, rank, stage, 2
+	p := &poller{now: 1.7e12}
 	var err error
-	if a.b, err = New(set, uint64(rank), a.now); err != nil {
+	if p.balancer, err = New(settings, uint64(rank), p.now); err != nil {
 		t.Fatal(err)
 	}
-	a.hear(ListCached)
-	return a
+	p.listEvent(ListCached)
+	return p
 }
 
-// hear tells the copy of discovery and whether it asks at once.
-func (a *asking) hear(kind ListKind) bool { return a.do(Event{Kind: EvList, List: kind}) }
+// listEvent passes an event of discovery and reports whether the copy polls at once.
+func (p *poller) listEvent(kind ListKind) bool { return p.handle(Event{Kind: EvList, List: kind}) }
 
-func (a *asking) do(ev Event) (asks bool) {
-	for _, act := range a.b.Handle(a.now, &ev, nil) {
-		switch act.Kind {
+func (p *poller) handle(ev Event) (polls bool) {
+	for _, action := range p.balancer.Handle(p.now, &ev, nil) {
+		switch action.Kind {
 		case ActTimer:
-			if a.timer.Token == 0 || a.now+act.Delay < a.timer.Delay {
-				a.timer = Action{Token: act.Token, Delay: a.now + act.Delay} // the moment, here
+			if p.timer.Token == 0 || p.now+action.Delay < p.timer.Delay {
+				p.timer = Action{Token: action.Token, Delay: p.now + action.Delay} // here Delay holds the absolute time
 			}
 		case ActWatchList:
-			asks = true
+			polls = true
 		}
 	}
-	return asks
+	return polls
 }
 
-func (a *asking) ask(t *testing.T) float64 {
+func (p *poller) nextPoll(t *testing.T) float64 {
 	t.Helper()
 	for range 100 {
-		token := a.timer.Token
+		token := p.timer.Token
 		if token == 0 {
-			t.Fatal("no timer while the list is to be asked for")
+			t.Fatal("no timer though a poll is due")
 		}
-		a.now, a.timer = max(a.now, a.timer.Delay), Action{}
-		if a.do(Event{Kind: EvTimer, Token: token}) {
-			return a.now
+		p.now, p.timer = max(p.now, p.timer.Delay), Action{}
+		if p.handle(Event{Kind: EvTimer, Token: token}) {
+			return p.now
 		}
 	}
-	t.Fatal("never asked")
+	t.Fatal("no poll in 100 timers")
 	return 0
 }
 
-// While calls fail every copy asks once in 5 s, however long that lasts, and the copies of two tiers do so evenly.
-func TestFailingCallsComeEvenly(t *testing.T) {
+// While polls fail, every copy polls once in 5 s, however long that lasts, and the copies of two tiers do so
+// evenly.
+func TestFailingPollsAreSpreadEvenly(t *testing.T) {
 	const copies, rounds = 50, 40
-	calls := map[int]int{} // in each tenth of a second
+	polls := map[int]int{} // by tenth of a second
 	for i := range 2 * copies {
-		a := newAsking(t, copies, i%copies, i/copies)
-		a.ask(t)
-		a.hear(ListFailed)
-		last := a.ask(t)
+		p := newPoller(t, copies, i%copies, i/copies)
+		p.nextPoll(t)
+		p.listEvent(ListFailed)
+		last := p.nextPoll(t)
 		for round := range rounds {
-			a.hear(ListFailed)
-			at := a.ask(t)
+			p.listEvent(ListFailed)
+			at := p.nextPoll(t)
 			if gap := at - last; gap > 5000 || round > 0 && gap != 5000 {
-				t.Fatalf("copy %d, round %d: asked again after %v ms", i, round, gap)
+				t.Fatalf("copy %d, round %d: polled again after %v ms", i, round, gap)
 			}
 			last = at
 			if round > 2 && round < rounds-3 {
-				calls[int(at-1.7e12)/100]++
+				polls[int(at-1.7e12)/100]++
 			}
 		}
 	}
-	for tenth, n := range calls {
-		if n > 4 { // 100 copies in 5 s are 2
-			t.Errorf("%d calls in the tenth of a second %d", n, tenth)
+	for tenth, n := range polls {
+		if n > 4 { // 100 copies in 5 s make 2
+			t.Errorf("%d polls in the tenth of a second %d", n, tenth)
 		}
 	}
 }
 
-// After a move, an answer or a broken watch the next call is no more than 1 s away, whatever failed before.
-func TestAMoveIsFollowedSoon(t *testing.T) {
+// After a move, an answer or a broken watch the next poll is at most 1 s away, whatever failed before.
+func TestMovedDiscoveryIsPolledSoon(t *testing.T) {
 	for rank := range 12 {
-		for name, kinds := range map[string][]ListKind{"move": {ListMoved}, "answer and break": {ListDelta, ListFailed}} {
-			a := newAsking(t, 12, rank, 0)
+		for name, kinds := range map[string][]ListKind{"move": {ListMoved}, "answer and broken watch": {ListDelta, ListFailed}} {
+			p := newPoller(t, 12, rank, 0)
 			for range 10 {
-				a.ask(t)
-				a.hear(ListFailed)
+				p.nextPoll(t)
+				p.listEvent(ListFailed)
 			}
-			a.now += 1
-			from := a.now
+			p.now += 1
+			from := p.now
 			for _, kind := range kinds {
-				a.hear(kind)
+				p.listEvent(kind)
 			}
-			at := a.ask(t)
-			a.hear(ListFailed)
-			if wait, again := at-from, a.ask(t)-at; wait > 1000 || kinds[0] == ListMoved && again > 1000 {
-				t.Errorf("copy %d: %s: asked after %v and %v ms", rank, name, wait, again)
+			at := p.nextPoll(t)
+			p.listEvent(ListFailed)
+			if wait, next := at-from, p.nextPoll(t)-at; wait > 1000 || kinds[0] == ListMoved && next > 1000 {
+				t.Errorf("copy %d: %s: polled after %v and %v ms", rank, name, wait, next)
 			}
 		}
 	}
 }
 
-// Where the list is pushed, nothing that is heard of discovery has it asked for.
-func TestPushedListsAreNotAskedFor(t *testing.T) {
-	b, err := New(plain(), 1, 1000)
+// Where lists are pushed, no event of discovery causes a poll.
+func TestPushedListsAreNotPolled(t *testing.T) {
+	b, err := New(testSettings(), 1, 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i, kind := range []ListKind{ListCached, ListFailed, ListMoved, ListDelta} {
-		if acts := b.Handle(1000*float64(i+2), &Event{Kind: EvList, List: kind}, nil); len(acts) > 0 {
-			t.Error(fmt.Sprint(kind, ": ", acts))
+		if actions := b.Handle(1000*float64(i+2), &Event{Kind: EvList, List: kind}, nil); len(actions) > 0 {
+			t.Error(fmt.Sprint(kind, ": ", actions))
 		}
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -6,8 +6,8 @@
 	"forkline"
 )
 
-// A sidecar owns the clock, the sockets and one Balancer. It turns what happens
-// into events and carries out the actions, in order.
+// A sidecar owns the clock, the sockets and one Balancer. It turns what happens into events and carries out
+// the actions in order.
 func Example() {
 	settings := forkline.Settings{
 		Copies:  1,
@@ -15,7 +15,7 @@
 		Limits:  forkline.Limits{MaxAttempts: 3},
 		Safety:  forkline.Safety{AnswerSlack: 20, DrainGrace: 1000, ColdCapacity: 0.2, RampTime: 10000, PollInterval: 10000},
 	}
-	now := 0.0 // milliseconds; a real sidecar reads its monotonic clock
+	now := 0.0 // ms; a real sidecar reads its monotonic clock
 	b, err := forkline.New(settings, 42, now)
 	if err != nil {
 		fmt.Println(err)
@@ -30,7 +30,7 @@
 	actions = b.Handle(now, &forkline.Event{Kind: forkline.EvRequest, Request: 7, Deadline: 900}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == forkline.ActSend {
-			fmt.Printf("send request %d to server %d, give up at %.0f ms\n", a.Request, a.Server, a.Deadline)
+			fmt.Printf("send request %d to server %d, deadline at %.0f ms\n", a.Request, a.Server, a.Deadline)
 		}
 	}
 	now = 25
@@ -39,10 +39,10 @@
 	}, actions[:0])
 	for _, a := range actions {
 		if a.Kind == forkline.ActSend {
-			fmt.Printf("the class is safe: send request %d once more\n", a.Request)
+			fmt.Printf("the class is safe: send request %d again\n", a.Request)
 		}
 	}
 	// Output:
-	// send request 7 to server 1, give up at 900 ms
-	// the class is safe: send request 7 once more
+	// send request 7 to server 1, deadline at 900 ms
+	// the class is safe: send request 7 again
 }
--- a/reconfigure_test.go
+++ b/reconfigure_test.go
@@ -11,49 +11,49 @@
 	"forkline/internal/stats"
 )
 
-// reconfigure puts the settings in force with an edit and returns the actions that are not timers or logs.
+// reconfigure applies an edit to the settings and returns the actions, without timers and logs.
 func (h *harness) reconfigure(edit func(*Settings)) []Action {
 	h.t.Helper()
-	set := h.b.cfg
-	if !h.b.budgetConfigured { // it holds the module's own figures
-		set.Safety.RetryBudgetMin, set.Safety.RetryBudgetRatio, set.Safety.RetryBudgetWindow = 0, 0, 0
+	settings := h.b.cfg
+	if !h.b.budgetConfigured { // the balancer has filled in its defaults
+		settings.Safety.RetryBudgetMin, settings.Safety.RetryBudgetRatio, settings.Safety.RetryBudgetWindow = 0, 0, 0
 	}
-	set.Classes, set.Tenants = slices.Clone(set.Classes), slices.Clone(set.Tenants)
-	edit(&set)
-	acts, err := h.b.Reconfigure(h.now, set, nil)
+	settings.Classes, settings.Tenants = slices.Clone(settings.Classes), slices.Clone(settings.Tenants)
+	edit(&settings)
+	actions, err := h.b.Reconfigure(h.now, settings, nil)
 	if err != nil {
 		h.t.Fatal(err)
 	}
-	return slices.DeleteFunc(acts, func(a Action) bool { return a.Kind == ActTimer || a.Kind == ActLog })
+	return slices.DeleteFunc(actions, func(a Action) bool { return a.Kind == ActTimer || a.Kind == ActLog })
 }
 
-// busy is a copy that has learned a little and has requests of each class open.
-func busy(t *testing.T) *harness {
+// newBusyHarness returns a copy that has learned a little and has open requests of each class.
+func newBusyHarness(t *testing.T) *harness {
 	t.Helper()
-	set := plain()
-	set.Copies, set.Rank = 3, 1
-	set.Tenants = []Tenant{{"a", 30}, {"b", 60}}
-	servers := ids(6)
+	settings := testSettings()
+	settings.Copies, settings.Rank = 3, 1
+	settings.Tenants = []Tenant{{"a", 30}, {"b", 60}}
+	servers := readyServers(6)
 	servers[5].Started = 900 // it is cold
-	h := start(t, set, servers...)
+	h := newHarness(t, settings, servers...)
 	for id := uint32(1); id <= 60; id++ {
 		h.now += 15
-		for _, a := range h.do(Event{Kind: EvRequest, Request: id, Class: uint16(id % 3), Tenant: uint16(id % 2), Deadline: h.now + 900}) {
+		for _, a := range h.handle(Event{Kind: EvRequest, Request: id, Class: uint16(id % 3), Tenant: uint16(id % 2), Deadline: h.now + 900}) {
 			if a.Kind == ActSend && id <= 50 {
 				h.now += 5
-				h.do(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Elapsed: 5 + float64(id), RequestDone: true})
+				h.handle(Event{Kind: EvOutcome, Request: id, Server: a.Server, Outcome: OK, Elapsed: 5 + float64(id), RequestDone: true})
 			}
 		}
 	}
 	if len(h.b.requests) < 8 {
-		t.Fatalf("%d requests are open", len(h.b.requests))
+		t.Fatalf("only %d requests are open", len(h.b.requests))
 	}
 	return h
 }
 
-// What cannot be used, or cannot change, is named and changes nothing.
-func TestReconfigureTakesAllOrNothing(t *testing.T) {
-	for want, spoil := range map[string]func(*Settings){
+// Settings that are invalid, or cannot change, must be named in the error and change nothing.
+func TestReconfigureIsAtomic(t *testing.T) {
+	for want, edit := range map[string]func(*Settings){
 		"Stage cannot change from 0 to 1":                func(s *Settings) { s.Stages, s.Stage = 1, 1; s.Stages = 2 },
 		"Stages cannot change from 1 to 4":               func(s *Settings) { s.Stages = 4 },
 		"ListOnRequest cannot change from false to true": func(s *Settings) { s.PollList = true },
@@ -62,51 +62,51 @@
 		"Ramp NaN":                                       func(s *Settings) { s.Safety.RampTime = math.NaN() },
 		"Effect 7":                                       func(s *Settings) { s.Classes[1].Effect = 7 },
 	} {
-		h, untouched := busy(t), busy(t)
-		set := plain()
-		set.Copies, set.Tenants = 9, nil // would change much
-		spoil(&set)
-		acts, err := h.b.Reconfigure(h.now, set, nil)
-		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || len(acts) > 0 {
-			t.Errorf("error %v and actions %v, want %q", err, acts, want)
+		h, reference := newBusyHarness(t), newBusyHarness(t)
+		settings := testSettings()
+		settings.Copies, settings.Tenants = 9, nil // would change a lot
+		edit(&settings)
+		actions, err := h.b.Reconfigure(h.now, settings, nil)
+		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") || len(actions) > 0 {
+			t.Errorf("error %v and actions %v, want %q", err, actions, want)
 		}
-		if !reflect.DeepEqual(h.b, untouched.b) {
+		if !reflect.DeepEqual(h.b, reference.b) {
 			t.Errorf("%s: the state has changed", want)
 		}
 	}
 }
 
-// The settings that are in force change nothing that a later event could show.
+// The present settings, applied again, must change nothing that a later event could show.
 func TestReconfigureWithTheSameSettings(t *testing.T) {
-	h, untouched := busy(t), busy(t)
-	if acts := h.reconfigure(func(*Settings) {}); len(acts) > 0 {
-		t.Errorf("actions %v", acts)
+	h, reference := newBusyHarness(t), newBusyHarness(t)
+	if actions := h.reconfigure(func(*Settings) {}); len(actions) > 0 {
+		t.Errorf("actions %v", actions)
 	}
-	untouched.do(Event{Kind: EvTimer, Token: math.MaxUint64}) // an event at which nothing happens
-	h.b.sweepAt, untouched.b.sweepAt = 0, 0                   // when it looks next
-	h.b.actions, untouched.b.actions, h.b.scratch, untouched.b.scratch = nil, nil, nil, nil
+	reference.handle(Event{Kind: EvTimer, Token: math.MaxUint64}) // an event without effect
+	h.b.sweepAt, reference.b.sweepAt = 0, 0                       // time of the next sweep
+	h.b.actions, reference.b.actions, h.b.scratch, reference.b.scratch = nil, nil, nil, nil
 	for i := range h.b.quotas {
-		for _, b := range []*Balancer{h.b, untouched.b} { // refilled up to now or later, it is the same bucket
+		for _, b := range []*Balancer{h.b, reference.b} { // the same bucket, whenever it was refilled
 			t := &b.quotas[i]
 			t.Tokens, t.UpdatedAt = math.Round(1e6*t.Available(b.now)), b.now
 		}
 	}
-	if !reflect.DeepEqual(h.b, untouched.b) {
-		t.Errorf("the state has changed:\n%+v\n%+v", h.b, untouched.b)
+	if !reflect.DeepEqual(h.b, reference.b) {
+		t.Errorf("the state has changed:\n%+v\n%+v", h.b, reference.b)
 	}
 }
 
-// How far a request may be repeated that is out while its class changes: as far as both allow.
+// A request that is in flight while its class changes may be repeated only as far as both classes allow.
 func TestOpenRequestsKeepTheStricterRule(t *testing.T) {
 	keyed := func(window float64, g DedupScope) Class { return Class{Effect: Keyed, DedupWindow: window, Scope: g} }
 	safe, unsafe := Class{Effect: Safe}, Class{Effect: Unsafe}
 	for _, c := range []struct {
-		name  string
-		old   Class
-		new   []Class // one change after another
-		where string  // it is repeated: anywhere, zone, cell, both, nowhere
+		name    string
+		old     Class
+		new     []Class // one change after another
+		allowed string  // where it may be repeated: anywhere, zone, cell, both, nowhere
 	}{
-		{"safe stays", safe, []Class{safe}, "anywhere"},
+		{"safe stays safe", safe, []Class{safe}, "anywhere"},
 		{"safe, then unsafe", safe, []Class{unsafe}, "nowhere"},
 		{"unsafe, then safe", unsafe, []Class{safe}, "nowhere"},
 		{"unsafe, then keyed", unsafe, []Class{keyed(900, ScopeAll)}, "nowhere"},
@@ -116,133 +116,137 @@
 		{"keyed, then safe", keyed(900, ScopeCell), []Class{safe}, "cell"},
 		{"shorter window", keyed(900, ScopeAll), []Class{keyed(50, ScopeAll)}, "nowhere"},
 		{"longer window", keyed(50, ScopeAll), []Class{keyed(900, ScopeAll)}, "nowhere"},
-		{"smaller group", keyed(900, ScopeAll), []Class{keyed(900, ScopeCell)}, "cell"},
-		{"larger group", keyed(900, ScopeZone), []Class{keyed(900, ScopeAll)}, "zone"},
-		{"another group", keyed(900, ScopeZone), []Class{keyed(900, ScopeCell)}, "both"},
-		{"three groups", keyed(900, ScopeCell), []Class{keyed(900, ScopeAll), keyed(900, ScopeZone)}, "both"},
+		{"smaller scope", keyed(900, ScopeAll), []Class{keyed(900, ScopeCell)}, "cell"},
+		{"larger scope", keyed(900, ScopeZone), []Class{keyed(900, ScopeAll)}, "zone"},
+		{"another scope", keyed(900, ScopeZone), []Class{keyed(900, ScopeCell)}, "both"},
+		{"three scopes", keyed(900, ScopeCell), []Class{keyed(900, ScopeAll), keyed(900, ScopeZone)}, "both"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			for where, other := range map[string]ServerEntry{
+			for shared, other := range map[string]ServerEntry{
 				"anywhere": {Zone: 1, Cell: 1}, "zone": {Cell: 1}, "cell": {Zone: 1}, "both": {},
 			} {
 				class := func(r Class) Class {
 					r.Name, r.Value, r.TargetLatency, r.Timeout = "x", 1, 500, 1000
 					return r
 				}
-				set := plain()
-				set.Classes = append(set.Classes[:1:1], class(c.old))
-				h := start(t, set, ServerEntry{Server: 1})
+				settings := testSettings()
+				settings.Classes = append(settings.Classes[:1:1], class(c.old))
+				h := newHarness(t, settings, ServerEntry{Server: 1})
 				h.request(5, 1)
 				other.Server = 2
-				h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{other}})
+				h.handle(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{other}})
 				h.now += 100
 				for _, n := range c.new {
-					h.reconfigure(func(s *Settings) { s.Classes = []Class{class(n), set.Classes[0]} })
+					h.reconfigure(func(s *Settings) { s.Classes = []Class{class(n), settings.Classes[0]} })
 				}
-				acts := h.do(Event{Kind: EvOutcome, Request: 5, Server: 1, Outcome: Reset, Elapsed: 100})
-				again := len(acts) == 1 && acts[0].Kind == ActSend && acts[0].Server == 2
-				same := len(acts) == 1 && acts[0].Kind == ActSend && acts[0].Server == 1 // which is in all its groups
-				want := c.where == "anywhere" || c.where == where || where == "both" && c.where != "nowhere"
-				if again != want || same && (want || c.where == "nowhere") {
-					t.Errorf("allowed %s, another server there is in the same %s: %+v", c.where, where, acts)
+				actions := h.handle(Event{Kind: EvOutcome, Request: 5, Server: 1, Outcome: Reset, Elapsed: 100})
+				repeated := len(actions) == 1 && actions[0].Kind == ActSend && actions[0].Server == 2
+				sameServer := len(actions) == 1 && actions[0].Kind == ActSend && actions[0].Server == 1 // in all scopes of the first attempt
+				want := c.allowed == "anywhere" || c.allowed == shared || shared == "both" && c.allowed != "nowhere"
+				if repeated != want || sameServer && (want || c.allowed == "nowhere") {
+					t.Errorf("allowed %s, the other server is in the same %s: %+v", c.allowed, shared, actions)
 				}
 				kind := ActFail // it may have run
 				if c.old.Effect == Keyed && c.new[0] == keyed(c.new[0].DedupWindow, ScopeAll) {
-					kind = ActRefuse // all servers know its key
+					kind = ActRefuse // all servers remember its key
 				}
-				if c.where == "nowhere" && (len(acts) != 1 || acts[0].Kind != kind) {
-					t.Errorf("%+v, want an end of kind %d", acts, kind)
+				if c.allowed == "nowhere" && (len(actions) != 1 || actions[0].Kind != kind) {
+					t.Errorf("%+v, want a final answer of kind %d", actions, kind)
 				}
 			}
 		})
 	}
 }
 
-// A safe request may have run in two groups; under a key it must not run again in either, as the other would not know.
-func TestNoRepeatAcrossGroupsAfterAChange(t *testing.T) {
-	h := start(t, plain(), ServerEntry{Server: 1})
+// A safe request may have run in two scopes. Once it is keyed it must not run again in either, as the other
+// scope would not know of it.
+func TestNoRepeatAcrossScopesAfterAChange(t *testing.T) {
+	h := newHarness(t, testSettings(), ServerEntry{Server: 1})
 	h.request(5, 0)
-	h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 2, Cell: 1}, {Server: 3}}})
-	h.b.servers[3].State = Draining // the second attempt goes to the other cell
-	acts := h.do(Event{Kind: EvOutcome, Request: 5, Server: 1, Outcome: Reset, Elapsed: 5})
-	if len(acts) != 1 || acts[0].Server != 2 {
-		t.Fatalf("second attempt: %+v", acts)
+	h.handle(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 2, Cell: 1}, {Server: 3}}})
+	h.b.servers[3].State = Draining // sends the second attempt to the other cell
+	actions := h.handle(Event{Kind: EvOutcome, Request: 5, Server: 1, Outcome: Reset, Elapsed: 5})
+	if len(actions) != 1 || actions[0].Server != 2 {
+		t.Fatalf("second attempt: %+v", actions)
 	}
 	h.b.servers[3].State = Ready
 	h.reconfigure(func(s *Settings) {
 		s.Classes[0].Effect, s.Classes[0].DedupWindow, s.Classes[0].Scope = Keyed, 900, ScopeCell
 	})
-	acts = h.do(Event{Kind: EvOutcome, Request: 5, Attempt: 1, Server: 2, Outcome: Reset, Elapsed: 5})
-	if len(acts) != 1 || acts[0].Kind != ActFail {
-		t.Errorf("%+v, want a failure", acts)
+	actions = h.handle(Event{Kind: EvOutcome, Request: 5, Attempt: 1, Server: 2, Outcome: Reset, Elapsed: 5})
+	if len(actions) != 1 || actions[0].Kind != ActFail {
+		t.Errorf("%+v, want a failure", actions)
 	}
 }
 
-// A safe request that waits to be repeated must not block the queue, nor go out, when its class becomes unsafe.
-func TestAWaitingRepeatEndsWithItsRule(t *testing.T) {
-	h := start(t, plain(), ids(2)...)
+// A safe request that waits for its repeat must neither block the queue nor be sent when its class becomes
+// unsafe.
+func TestWaitingRepeatEndsWhenClassBecomesUnsafe(t *testing.T) {
+	h := newHarness(t, testSettings(), readyServers(2)...)
 	h.b.limit.reviseAt = math.Inf(1)
 	h.request(1, 0)
-	h.b.limit.maxInFlight = 0 // crowded from here on
-	if acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: Reset, Elapsed: 5}); len(acts) > 0 {
-		t.Fatalf("it must wait: %+v", acts)
+	h.b.limit.maxInFlight = 0 // the limit is reached from here on
+	if actions := h.handle(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: Reset, Elapsed: 5}); len(actions) > 0 {
+		t.Fatalf("%+v, want it to wait", actions)
 	}
 	h.request(2, 2)
-	acts := h.reconfigure(func(s *Settings) { s.Classes[0].Effect = Unsafe })
-	if len(acts) != 1 || acts[0].Kind != ActFail || acts[0].Request != 1 {
-		t.Errorf("%+v, want that request 1 has failed", acts)
+	actions := h.reconfigure(func(s *Settings) { s.Classes[0].Effect = Unsafe })
+	if len(actions) != 1 || actions[0].Kind != ActFail || actions[0].Request != 1 {
+		t.Errorf("%+v, want a failure of request 1", actions)
 	}
 	h.b.limit.maxInFlight = 9
-	if acts := h.do(Event{Kind: EvTimer}); len(acts) != 1 || acts[0].Kind != ActSend || acts[0].Request != 2 {
-		t.Errorf("%+v, want that request 2 goes out", acts)
+	if actions := h.handle(Event{Kind: EvTimer}); len(actions) != 1 || actions[0].Kind != ActSend || actions[0].Request != 2 {
+		t.Errorf("%+v, want a send of request 2", actions)
 	}
 }
 
-// Classes go by their names: numbers move, one is gone while a request of it is open, another comes.
-func TestClassesGoByName(t *testing.T) {
-	h := start(t, plain(), ids(3)...)
+// Classes keep their state by name: indices move, one class is removed while a request of it is open, one is
+// added.
+func TestClassesKeepStateByName(t *testing.T) {
+	h := newHarness(t, testSettings(), readyServers(3)...)
 	for i := range h.b.classes {
 		h.b.classes[i].meanLatency, h.b.classes[i].servedShare = float64(10*(i+1)), 0.5+0.1*float64(i)
 	}
 	h.request(1, 0)
 	h.request(2, 2)
-	old := plain().Classes
+	old := testSettings().Classes
 	h.reconfigure(func(s *Settings) {
 		s.Classes = []Class{{Name: "new", Value: 1, TargetLatency: 100, Timeout: 300}, old[2], old[1]}
 	})
 	c := h.b.classes
 	if c[0].meanLatency != 0 || c[0].servedShare != 1 || c[1].meanLatency != 30 || c[1].servedShare != 0.7 || c[2].meanLatency != 20 {
-		t.Errorf("learned %+v", c)
+		t.Errorf("learned state %+v", c)
 	}
 	if q := h.b.requests[2]; c[q.class].Name != "book" || q.class != 1 {
 		t.Errorf("request 2 is of class %d", q.class)
 	}
 	if q := h.b.requests[1]; c[q.class].Name != "read" || c[q.class].meanLatency != 10 {
-		t.Errorf("request 1, whose class is gone, is of %+v", c[q.class])
+		t.Errorf("request 1, whose class was removed, is of class %+v", c[q.class])
 	}
-	if acts := h.request(3, 3); len(acts) > 0 { // the number of the class that is gone is none for new ones
-		t.Errorf("%+v for a class that is no more", acts)
+	if actions := h.request(3, 3); len(actions) > 0 { // the index of the removed class is invalid for new requests
+		t.Errorf("%+v for a removed class", actions)
 	}
-	if acts := h.request(4, 0); len(acts) != 1 || acts[0].Kind != ActSend {
-		t.Errorf("%+v for the new class", acts)
+	if actions := h.request(4, 0); len(actions) != 1 || actions[0].Kind != ActSend {
+		t.Errorf("%+v for the new class", actions)
 	}
-	acts := h.do(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: Reset, Elapsed: 5})
-	if len(acts) != 1 || acts[0].Kind != ActSend {
-		t.Errorf("%+v, want that a safe request goes on in the class that is gone", acts)
+	actions := h.handle(Event{Kind: EvOutcome, Request: 1, Server: h.b.requests[1].attempts[0].server.Server, Outcome: Reset, Elapsed: 5})
+	if len(actions) != 1 || actions[0].Kind != ActSend {
+		t.Errorf("%+v, want a repeat of a safe request in the removed class", actions)
 	}
-	h.do(Event{Kind: EvOutcome, Request: 1, Attempt: 1, Server: acts[0].Server, Outcome: OK, Elapsed: 5, RequestDone: true})
+	h.handle(Event{Kind: EvOutcome, Request: 1, Attempt: 1, Server: actions[0].Server, Outcome: OK, Elapsed: 5, RequestDone: true})
 	h.reconfigure(func(*Settings) {})
 	if len(h.b.classes) != 3 || h.b.requests[1] != nil {
-		t.Errorf("%d classes, want that the one that is gone ends with its last request", len(h.b.classes))
+		t.Errorf("%d classes, want the removed one dropped with its last request", len(h.b.classes))
 	}
 }
 
-// Later outcomes are judged by the new thresholds; what was measured goes on, in the new unit where it is a mean.
-func TestThresholdsChangeAndWhatIsLearnedStays(t *testing.T) {
-	h := busy(t)
-	was := *h.b
+// Later outcomes are judged by the new thresholds. Measurements stay, and mean ratios are scaled to the new
+// unit.
+func TestThresholdChangeKeepsLearnedState(t *testing.T) {
+	h := newBusyHarness(t)
+	before := *h.b
 	server := *h.b.live[0]
-	due, aimAt := h.b.requests[60].deadline, h.b.requests[60].targetAt
+	deadline, targetAt := h.b.requests[60].deadline, h.b.requests[60].targetAt
 	h.reconfigure(func(s *Settings) {
 		for i := range s.Classes {
 			s.Classes[i].TargetLatency, s.Classes[i].Timeout = s.Classes[i].TargetLatency/2, 100
@@ -250,31 +254,31 @@
 	})
 	s := h.b.live[0]
 	if s.load != server.load || s.credit < server.credit || s.sampleCount != server.sampleCount || s.samples != server.samples || s.successes != server.successes {
-		t.Error("what was learned of a server is lost")
+		t.Error("learned state of a server is lost")
 	}
-	if h.b.limit.maxInFlight != was.limit.maxInFlight || h.b.poolCount != was.poolCount || h.b.sends != was.sends || h.b.accepted.Len() != was.accepted.Len() {
-		t.Error("what was learned of the tier is lost")
+	if h.b.limit.maxInFlight != before.limit.maxInFlight || h.b.poolCount != before.poolCount || h.b.sends != before.sends || h.b.accepted.Len() != before.accepted.Len() {
+		t.Error("learned state of the tier is lost")
 	}
-	if q := h.b.requests[60]; q.deadline != due || q.targetAt != aimAt {
-		t.Errorf("an open request is due at %v, before %v", q.deadline, due)
+	if q := h.b.requests[60]; q.deadline != deadline || q.targetAt != targetAt {
+		t.Errorf("deadline of an open request is %v, before %v", q.deadline, deadline)
 	}
-	if got := h.b.tierRatio / was.tierRatio; math.Abs(got-2) > 1e-9 || math.Abs(s.meanRatio/server.meanRatio-2) > 1e-9 {
-		t.Errorf("mean ratio %v of before, want 2 with half the threshold", got)
+	if got := h.b.tierRatio / before.tierRatio; math.Abs(got-2) > 1e-9 || math.Abs(s.meanRatio/server.meanRatio-2) > 1e-9 {
+		t.Errorf("mean ratio changed by a factor of %v, want 2 with half the threshold", got)
 	}
-	h.b.recordOutcome(s, 0, OK, 200) // the aim is 250, the threshold 175
+	h.b.recordOutcome(s, 0, OK, 200) // the target is 250, the threshold 175
 	if last := s.samples[(s.sampleCount-1)%ringSize]; math.Abs(last.Value-200/175.0) > 1e-9 {
-		t.Errorf("ratio %v", last.Value)
+		t.Errorf("latency ratio %v", last.Value)
 	}
 	if h.b.meanTarget != 250 || h.b.maxThreshold != 175 {
-		t.Errorf("mean aim %v, silence %v", h.b.meanTarget, h.b.maxThreshold)
+		t.Errorf("mean target %v, largest threshold %v", h.b.meanTarget, h.b.maxThreshold)
 	}
 }
 
-// A tenant's bucket goes by its name; a changed quota changes rate and burst.
-func TestQuotasGoByName(t *testing.T) {
-	set := plain()
-	set.Tenants = []Tenant{{"a", 10}, {"b", 40}, {"c", 0}}
-	h := start(t, set, ids(1)...)
+// A tenant's bucket is kept by name; a new quota changes its rate and burst.
+func TestQuotasKeepTokensByName(t *testing.T) {
+	settings := testSettings()
+	settings.Tenants = []Tenant{{"a", 10}, {"b", 40}, {"c", 0}}
+	h := newHarness(t, settings, readyServers(1)...)
 	h.b.quotas[0].Tokens, h.b.quotas[1].Tokens = 3, 60
 	h.now += 100 // b gets 4, a gets 1
 	h.b.Handle(h.now, &Event{Kind: EvTimer}, nil)
@@ -289,22 +293,22 @@
 	}
 }
 
-// The deal of servers, the start of the limit and the order on cold servers are those of a copy that starts with the
+// Subsets, the initial limit and the positions for cold servers must be those of a copy that starts with the
 // new settings.
 func TestCopiesAndRankChange(t *testing.T) {
-	servers := ids(40)
+	servers := readyServers(40)
 	servers[3].Started = 900
-	set := plain()
-	set.Copies, set.Rank = 40, 3
-	h := start(t, set, servers...)
+	settings := testSettings()
+	settings.Copies, settings.Rank = 40, 3
+	h := newHarness(t, settings, servers...)
 	change := func(s *Settings) { s.Copies, s.Rank = 7, 6 }
-	change(&set)
-	fresh := start(t, set, servers...)
+	change(&settings)
+	fresh := newHarness(t, settings, servers...)
 	h.reconfigure(change)
 	for i, s := range h.b.live {
 		f := fresh.b.live[i]
 		if s.subsetShare != f.subsetShare || s.ramp.position != f.ramp.position || s.cold != f.cold {
-			t.Errorf("server %d: share %v and place %d, want %v and %d", s.Server, s.subsetShare, s.ramp.position, f.subsetShare, f.ramp.position)
+			t.Errorf("server %d: share %v and position %d, want %v and %d", s.Server, s.subsetShare, s.ramp.position, f.subsetShare, f.ramp.position)
 		}
 	}
 	if h.b.limit.initial != fresh.b.limit.initial {
@@ -312,120 +316,120 @@
 	}
 }
 
-// Limits count from the change on, for open requests too.
+// Limits apply from the change on, to open requests too.
 func TestLimitsChange(t *testing.T) {
 	t.Run("attempts", func(t *testing.T) {
-		h := start(t, plain(), ids(3)...)
-		acts := h.request(1, 0)
+		h := newHarness(t, testSettings(), readyServers(3)...)
+		actions := h.request(1, 0)
 		h.reconfigure(func(s *Settings) { s.Limits.MaxAttempts = 1 })
-		if acts = h.do(Event{Kind: EvOutcome, Request: 1, Server: acts[0].Server, Outcome: Rejected, Elapsed: 1}); len(acts) != 1 || acts[0].Kind != ActRefuse {
-			t.Errorf("%+v, want no second attempt", acts)
+		if actions = h.handle(Event{Kind: EvOutcome, Request: 1, Server: actions[0].Server, Outcome: Rejected, Elapsed: 1}); len(actions) != 1 || actions[0].Kind != ActRefuse {
+			t.Errorf("%+v, want no second attempt", actions)
 		}
 	})
 	t.Run("open", func(t *testing.T) {
-		h := start(t, plain(), ids(3)...)
+		h := newHarness(t, testSettings(), readyServers(3)...)
 		h.request(1, 0)
 		h.reconfigure(func(s *Settings) { s.Limits.MaxOpenRequests = 1 })
-		if acts := h.request(2, 0); len(acts) != 1 || acts[0].Kind != ActRefuse {
-			t.Errorf("%+v, want a refusal past the bound", acts)
+		if actions := h.request(2, 0); len(actions) != 1 || actions[0].Kind != ActRefuse {
+			t.Errorf("%+v, want a refusal beyond the bound", actions)
 		}
 	})
-	t.Run("no cancelling any more", func(t *testing.T) {
-		set := plain()
-		set.Limits.CancelAttempts = true
-		h := start(t, set, ids(3)...)
+	t.Run("cancellation is no longer allowed", func(t *testing.T) {
+		settings := testSettings()
+		settings.Limits.CancelAttempts = true
+		h := newHarness(t, settings, readyServers(3)...)
 		h.b.classes[0].meanLatency = 10
 		h.request(1, 0)
 		h.reconfigure(func(s *Settings) { s.Limits.CancelAttempts = false })
 		h.now += 200
-		if acts := h.do(Event{Kind: EvTimer}); len(acts) > 0 {
-			t.Errorf("%+v: the site does not permit that any more", acts)
+		if actions := h.handle(Event{Kind: EvTimer}); len(actions) > 0 {
+			t.Errorf("%+v: want none, as cancellation is no longer allowed", actions)
 		}
 	})
-	t.Run("no second run of a silent attempt", func(t *testing.T) {
-		set := plain()
-		set.Limits.CancelAttempts = true
-		h := start(t, set, ids(3)...)
+	t.Run("no second run of an unresponsive attempt", func(t *testing.T) {
+		settings := testSettings()
+		settings.Limits.CancelAttempts = true
+		h := newHarness(t, settings, readyServers(3)...)
 		h.b.classes[0].meanLatency = 10
 		h.request(1, 0)
 		h.reconfigure(func(s *Settings) { s.Classes[0].Effect = Unsafe })
 		h.now += 200
-		if acts := h.do(Event{Kind: EvTimer}); len(acts) > 0 {
-			t.Errorf("%+v: it may not be repeated any more", acts)
+		if actions := h.handle(Event{Kind: EvTimer}); len(actions) > 0 {
+			t.Errorf("%+v: want none, as it may not be repeated any more", actions)
 		}
 	})
 	t.Run("budget", func(t *testing.T) {
-		h := start(t, plain(), ids(3)...)
-		acts := h.request(1, 0)
-		h.reconfigure(func(s *Settings) { s.Safety.RetryBudgetWindow = 1000 }) // none at all
-		if acts = h.do(Event{Kind: EvOutcome, Request: 1, Server: acts[0].Server, Outcome: Rejected, Elapsed: 1}); len(acts) != 1 || acts[0].Kind != ActRefuse {
-			t.Errorf("%+v, want no further attempt", acts)
+		h := newHarness(t, testSettings(), readyServers(3)...)
+		actions := h.request(1, 0)
+		h.reconfigure(func(s *Settings) { s.Safety.RetryBudgetWindow = 1000 }) // no budget at all
+		if actions = h.handle(Event{Kind: EvOutcome, Request: 1, Server: actions[0].Server, Outcome: Rejected, Elapsed: 1}); len(actions) != 1 || actions[0].Kind != ActRefuse {
+			t.Errorf("%+v, want no further attempt", actions)
 		}
 	})
-	t.Run("idle connections in a drain", func(t *testing.T) {
-		h := start(t, plain(), ids(2)...)
-		h.do(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 100, State: Draining}}})
-		acts := h.reconfigure(func(s *Settings) { s.Safety.DrainCloseTimeout = 1000 })
-		if len(acts) != 1 || acts[0].Kind != ActCloseIdle || acts[0].Server != 100 {
-			t.Errorf("%+v, want that those to the server that drains are closed", acts)
+	t.Run("idle connections while draining", func(t *testing.T) {
+		h := newHarness(t, testSettings(), readyServers(2)...)
+		h.handle(Event{Kind: EvList, List: ListDelta, Servers: []ServerEntry{{Server: 100, State: Draining}}})
+		actions := h.reconfigure(func(s *Settings) { s.Safety.DrainCloseTimeout = 1000 })
+		if len(actions) != 1 || actions[0].Kind != ActCloseIdle || actions[0].Server != 100 {
+			t.Errorf("%+v, want the connections to the draining server closed", actions)
 		}
 	})
 	t.Run("warm-up", func(t *testing.T) {
-		servers := ids(2)
+		servers := readyServers(2)
 		servers[0].Started = 900
-		h := start(t, plain(), servers...)
-		h.reconfigure(func(s *Settings) { s.Safety.RampTime = 50 }) // it is over
+		h := newHarness(t, testSettings(), servers...)
+		h.reconfigure(func(s *Settings) { s.Safety.RampTime = 50 }) // already over
 		h.request(1, 0)
 		if h.b.servers[100].cold {
-			t.Error("a server is cold past the new time")
+			t.Error("a server is cold after the new ramp time")
 		}
 	})
 }
 
-// reconfigure changes the settings of a world at random and tells whether they could be used. Open requests are in one
-// class more.
-func (w *world) reconfigure() bool {
-	w.t.Helper()
-	set := w.set
-	set.Classes = nil
-	for _, i := range w.rng.Perm(5)[:1+w.rng.IntN(4)] {
-		c := Class{Name: string(rune('a' + i)), Value: 1 + float64(i), TargetLatency: 200 + 600*w.rng.Float64(), Timeout: 1000,
-			Effect: Effect(w.rng.IntN(3)), Scope: DedupScope(w.rng.IntN(3))}
+// reconfigure changes the settings at random and reports whether they were valid. Open requests then have one
+// more class whose rules apply.
+func (sim *simulation) reconfigure() bool {
+	sim.t.Helper()
+	settings := sim.settings
+	settings.Classes = nil
+	for _, i := range sim.rng.Perm(5)[:1+sim.rng.IntN(4)] {
+		c := Class{Name: string(rune('a' + i)), Value: 1 + float64(i), TargetLatency: 200 + 600*sim.rng.Float64(), Timeout: 1000,
+			Effect: Effect(sim.rng.IntN(3)), Scope: DedupScope(sim.rng.IntN(3))}
 		if c.Effect == Keyed {
-			c.DedupWindow = 50 + 400*w.rng.Float64()
+			c.DedupWindow = 50 + 400*sim.rng.Float64()
 		}
-		set.Classes = append(set.Classes, c)
-	}
-	set.Copies, set.Rank = 1+w.rng.IntN(7), w.rng.IntN(7)
-	set.Limits.MaxAttempts, set.Limits.CancelAttempts, set.Limits.MaxOpenRequests = 1+w.rng.IntN(3), w.rng.IntN(2) == 0, 40*w.rng.IntN(2)
-	set.Safety.RampTime, set.Safety.ColdCapacity = 20000*w.rng.Float64(), w.rng.Float64()
-	set.Safety.DrainCloseTimeout = 1500 * float64(w.rng.IntN(2))
-	set.Safety.RetryBudgetMin, set.Safety.RetryBudgetRatio = 3*w.rng.Float64(), 0.3*w.rng.Float64()
-	set.Tenants = []Tenant{{Name: "t", Quota: 50 * w.rng.Float64()}, {Name: string(rune('t' + w.rng.IntN(3))), Quota: 5}}
-	if w.rng.IntN(4) == 0 { // one that cannot be used counts for nothing
-		set.Stages++
-		if acts, err := w.b.Reconfigure(w.now, set, nil); err == nil || len(acts) > 0 {
-			w.t.Fatalf("error %v, actions %v", err, acts)
+		settings.Classes = append(settings.Classes, c)
+	}
+	settings.Copies, settings.Rank = 1+sim.rng.IntN(7), sim.rng.IntN(7)
+	settings.Limits.MaxAttempts, settings.Limits.CancelAttempts, settings.Limits.MaxOpenRequests = 1+sim.rng.IntN(3), sim.rng.IntN(2) == 0, 40*sim.rng.IntN(2)
+	settings.Safety.RampTime, settings.Safety.ColdCapacity = 20000*sim.rng.Float64(), sim.rng.Float64()
+	settings.Safety.DrainCloseTimeout = 1500 * float64(sim.rng.IntN(2))
+	settings.Safety.RetryBudgetMin, settings.Safety.RetryBudgetRatio = 3*sim.rng.Float64(), 0.3*sim.rng.Float64()
+	settings.Tenants = []Tenant{{Name: "t", Quota: 50 * sim.rng.Float64()}, {Name: string(rune('t' + sim.rng.IntN(3))), Quota: 5}}
+	if sim.rng.IntN(4) == 0 { // invalid settings change nothing
+		settings.Stages++
+		if actions, err := sim.b.Reconfigure(sim.now, settings, nil); err == nil || len(actions) > 0 {
+			sim.t.Fatalf("error %v, actions %v", err, actions)
 		}
 		return false
 	}
-	for _, c := range w.calls {
-		if i := slices.IndexFunc(set.Classes, func(n Class) bool { return n.Name == c.under[0].Name }); i >= 0 {
-			c.under = append(c.under, set.Classes[i])
+	for _, c := range sim.requests {
+		if i := slices.IndexFunc(settings.Classes, func(n Class) bool { return n.Name == c.classes[0].Name }); i >= 0 {
+			c.classes = append(c.classes, settings.Classes[i])
 		}
 	}
-	clear(w.used)
-	for _, s := range w.servers {
-		if s.State == Draining && set.Safety.DrainCloseTimeout > 0 {
-			w.used[s.Server] = w.now
+	clear(sim.drainUse)
+	for _, s := range sim.servers {
+		if s.State == Draining && settings.Safety.DrainCloseTimeout > 0 {
+			sim.drainUse[s.Server] = sim.now
 		}
 	}
-	w.set, w.further = set, nil // what was made under another budget is none of this one's
-	acts, err := w.b.Reconfigure(w.now, set, nil)
+	sim.settings, sim.repeats = settings, nil // repeats under the old budget do not count in the new one
+	actions, err := sim.b.Reconfigure(sim.now, settings, nil)
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	w.check(acts)
+	sim.checkActions(actions)
 	return true
 }
 
@@ -433,41 +437,41 @@
 func TestRulesHoldWhileSettingsChange(t *testing.T) {
 	sends, retired := 0, 0
 	for seed := range uint64(16) {
-		w := newWorld(t, seed, []int{1, 2, 9, 40}[seed%4])
+		sim := newSimulation(t, seed, []int{1, 2, 9, 40}[seed%4])
 		changes := rand.New(rand.NewPCG(seed, 2))
 		for range 3000 {
-			w.step()
+			sim.step()
 			if changes.IntN(50) == 0 {
-				w.reconfigure()
-				retired += len(w.b.classes) - len(w.set.Classes)
+				sim.reconfigure()
+				retired += len(sim.b.classes) - len(sim.settings.Classes)
 			}
 		}
-		w.advance(w.now + 5000)
-		w.sweep()
-		for _, a := range w.trace {
+		sim.advance(sim.now + 5000)
+		sim.checkState()
+		for _, a := range sim.trace {
 			if a.Kind == ActSend {
 				sends++
 			}
 		}
-		for !w.reconfigure() {
+		for !sim.reconfigure() {
 		}
-		if len(w.order) != 0 || len(w.b.requests) != 0 || w.b.inFlight != 0 || len(w.b.classes) != len(w.set.Classes) {
-			t.Errorf("seed %d: %d calls open, %d held, %d out, %d classes", seed, len(w.order), len(w.b.requests), w.b.inFlight, len(w.b.classes))
+		if len(sim.order) != 0 || len(sim.b.requests) != 0 || sim.b.inFlight != 0 || len(sim.b.classes) != len(sim.settings.Classes) {
+			t.Errorf("seed %d: %d requests open, %d records held, %d in flight, %d classes", seed, len(sim.order), len(sim.b.requests), sim.b.inFlight, len(sim.b.classes))
 		}
 	}
 	if sends < 4000 || retired < 500 {
-		t.Errorf("only %d sends and %d retired classes, too few to have tested the rules", sends, retired)
+		t.Errorf("only %d sends and %d retired classes, too few to test the rules", sends, retired)
 	}
 }
 
-// Calls that wait are looked through at once: by the new settings one may have to go out sooner, or end.
-func TestWaitingCallsAreLookedThrough(t *testing.T) {
-	h := start(t, plain(), ids(1)...)
+// A change sweeps the queue at once: under the new settings a request may have to be sent earlier, or end.
+func TestReconfigureSweepsTheQueue(t *testing.T) {
+	h := newHarness(t, testSettings(), readyServers(1)...)
 	h.b.limit.reviseAt, h.b.limit.maxInFlight, h.b.classes[0].meanLatency = math.Inf(1), 0, 400
-	h.request(1, 0) // its aim is in 500 ms, and its answer takes 350 of them at most
+	h.request(1, 0) // the target is 500 ms, and at most 350 of them are kept for an answer
 	h.reconfigure(func(s *Settings) { s.Classes[0].TargetLatency = 900 })
 	h.now += 120
-	if acts := h.do(Event{Kind: EvTimer}); len(acts) != 1 || acts[0].Kind != ActRefuse {
-		t.Errorf("%+v, want its end, as an answer takes the 400 ms that are measured", acts)
+	if actions := h.handle(Event{Kind: EvTimer}); len(actions) != 1 || actions[0].Kind != ActRefuse {
+		t.Errorf("%+v, want a refusal, as an answer takes the measured 400 ms", actions)
 	}
 }
