--- a/balancer.go
+++ b/balancer.go
@@ -38,9 +38,9 @@
 	queueWaitShare       = 0.3     // longest wait in the queue, over the mean target latency
 	overQuotaShare       = 0.5     // share of the limit above which over-quota requests are refused
 	quotaBurstTime       = 2000.0  // a tenant may run ahead of its quota by this time's worth
-	defaultRetryRatio    = 0.1     // defaults: repeats per request, of those that may have run,
-	defaultRetryMin      = 5.0     // plus this number of repeats,
-	defaultRetryWindow   = 10000.0 // within this time
+	defaultRetryRatio    = 0.1     // default retry budget: repeats, per request, of what may have run,
+	defaultRetryMin      = 5.0     // plus this number,
+	defaultRetryWindow   = 10000.0 // within this window
 	latencyGain          = 0.05    // weight of a new value in moving averages
 	servedGain           = 0.005   // likewise for the served share, which the goal counts daily
 	latencyWeight        = 7.0     // weight of a server's latency over the tier's, against its credit left
@@ -165,7 +165,7 @@
 	meanTarget                       float64
 	accepted, retries                stats.Window   // requests and repeats in the retry budget's window
 	attemptTimers                    []attemptTimer // of safe classes' attempts, earliest first
-	closing                          []*server      // draining servers with a second close due
+	closing                          []*server      // draining servers whose connections are closed again
 	budgetConfigured, probingEnabled bool           // the site states a retry budget; probes are cheap
 	inFlight, connecting             int            // attempts that the limit counts; attempts that connect
 	limit                            concurrencyLimit
@@ -257,7 +257,7 @@
 		}
 	case EvTimer:
 		if ev.Token == b.timerToken {
-			b.wakeAt = 0 // matched by token: a host's clock may round it to come early
+			b.wakeAt = 0 // matched by token: rounded timers may fire early
 		}
 		b.closeIdleDue()
 	}
@@ -288,7 +288,7 @@
 	b.arrived++
 	b.accepted.Since(b.now - b.cfg.Safety.RetryBudgetWindow)
 	b.accepted.Add(b.now)
-	// queue_length: as many as were lately sent within the longest wait; unbounded without servers.
+	// The queue holds what recent rates send within the longest wait; it is unbounded without servers.
 	overQuota := b.overQuota(q)
 	bound := (1 + queueWaitShare*b.meanTarget/1000*b.sends.PerSecond) * b.queueShare(q, overQuota)
 	full, maxOpen := len(b.live) > 0 && len(b.queue) > int(bound), b.cfg.Limits.MaxOpenRequests
@@ -302,7 +302,7 @@
 	b.sendProbes(q)
 }
 
-// sendProbes asks some servers for their load: a copy with little traffic learns so what all have sent.
+// sendProbes asks some servers for their load, which a copy with little traffic cannot know otherwise.
 func (b *Balancer) sendProbes(q *request) {
 	if !b.probingEnabled || len(b.live) == 0 {
 		return
@@ -506,7 +506,7 @@
 }
 
 // subsetAccepts reports whether a server of the own subset takes this request: it has few in flight and, if
-// slower than the tier, takes only a random part. Otherwise servers of all speeds would be loaded alike.
+// slower than the tier, gets only a random part. Otherwise servers of all speeds would be loaded alike.
 func (b *Balancer) subsetAccepts(s *server) bool {
 	return s.failureRun <= maxFailureRun &&
 		float64(s.inFlight) < subsetConcurrency*s.subsetShare/(1+s.failureRun) && b.fastEnough(s)
@@ -543,7 +543,7 @@
 	b.addInFlight(s, 1)
 	s.lastSentAt = b.now
 	if s.reportedCalls++; !b.hasFreshReport(s) {
-		s.reportedCalls = 0 // an outdated report does not count this request
+		s.reportedCalls = 0 // an outdated report says nothing of this request's wait
 	}
 	q.inFlight++
 	q.attempts = append(q.attempts, attempt{server: s, zone: s.Zone, cell: s.Cell, sentAt: b.now,
@@ -581,7 +581,7 @@
 	return found
 }
 
-// noteActivity records a sign of life of a server. Timeouts, cancellations and failed connects are none.
+// noteActivity records a sign of life of a server. Timeouts, cancellations and failed connects do not count.
 func (b *Balancer) noteActivity(s *server) {
 	s.lastActivity = b.now
 	if s.unresponsive {
@@ -971,7 +971,7 @@
 		Action{Kind: ActTimer, Delay: b.cfg.Safety.DrainCloseTimeout / 2})
 }
 
-// closeIdleDue repeats that where it is due, with 1 ms of tolerance for rounded timers.
+// closeIdleDue closes idle connections again where due, with 1 ms of tolerance for rounded timers.
 func (b *Balancer) closeIdleDue() {
 	b.closing = slices.DeleteFunc(b.closing, func(s *server) bool {
 		if b.now < s.closeIdleAt-1 {
--- a/limit.go
+++ b/limit.go
@@ -22,10 +22,10 @@
 	initial      float64 // its first and least value: the copies must not overload an unmeasured tier
 	servers      float64 // servers that it is scaled to: those in the limit, a cold one by its capacity
 	reviseAt     float64 // time of the next revision
-	baselineFrom float64 // the baseline is kept from then on
+	baselineFrom float64 // time from which the baseline is tracked
 	meanRatio    float64 // geometric mean of latencies over their thresholds
 	answerCount  int     // number of answers in meanRatio
-	baseline     float64 // smallest meanRatio, which rises slowly; the mean over it shows waiting
+	baseline     float64 // smallest meanRatio, rising slowly; meanRatio above it indicates waiting
 }
 
 // scaleTo scales the limit with the number of servers, up and down.
--- a/retry.go
+++ b/retry.go
@@ -62,7 +62,7 @@
 	return !b.usesBudget(q) || b.budgetLeft() >= 1
 }
 
-// usesBudget reports whether the next attempt counts. A set budget also counts what surely did not run.
+// usesBudget reports whether the next attempt counts. A configured budget counts all but the first one.
 func (b *Balancer) usesBudget(q *request) bool {
 	return len(q.attempts) > 0 && (b.budgetConfigured || q.mayHaveRun)
 }
