--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience, s.front.accept, s.front.downstream.most = 0, 0, most
+	s.cachedListDelay, s.front.drainAcceptTime, s.front.downstream.maxConns = 0, 0, most
 	go s.Run(t.Context())
 	clients := make([]*client, most)
 	for i := range clients {
@@ -30,7 +30,7 @@
 		clients[i].send("GET", "read", "")
 	}
 	eventually(t, "all requests", func() (all bool) {
-		s.loop.ask(func() { all = len(s.loop.calls) == most })
+		s.loop.postAndWait(func() { all = len(s.loop.calls) == most })
 		return all
 	})
 	for range 2 {
@@ -47,9 +47,9 @@
 // Clients that send the first bytes of a request, and come again as soon as they are ended, keep nobody out: a new
 // connection gets its turn behind those that came before it.
 func TestRequestsThatNeverBecomeWholeKeepNobodyOut(t *testing.T) {
-	s, _ := serving(t, func(s *Sidecar) { s.front.downstream.most = 2 * spareDownstream })
+	s, _ := serving(t, func(s *Sidecar) { s.front.downstream.maxConns = 2 * evictionHeadroom })
 	addr := s.listener.Addr().String()
-	for range 4 * spareDownstream {
+	for range 4 * evictionHeadroom {
 		go func() {
 			for t.Context().Err() == nil {
 				c, err := net.Dial("tcp", addr)
@@ -65,7 +65,7 @@
 	eventually(t, "a crowd that fills all", func() bool {
 		s.front.downstream.mu.Lock()
 		defer s.front.downstream.mu.Unlock()
-		return s.front.downstream.coming.Len() >= s.front.downstream.most
+		return s.front.downstream.receiving.Len() >= s.front.downstream.maxConns
 	})
 	c := dial(t, s)
 	c.send("GET", "read", "")
@@ -103,8 +103,8 @@
 			}
 			hear(now, listwatch.Event{Kind: listwatch.EvTick})
 		}
-		if most < 2 || own+most > reserved(MinSockets) {
-			t.Errorf("%s: %d calls wait, %d descriptors are reserved", name, most, reserved(MinSockets))
+		if most < 2 || own+most > reservedSockets(MinSockets) {
+			t.Errorf("%s: %d calls wait, %d descriptors are reserved", name, most, reservedSockets(MinSockets))
 		}
 		t.Logf("%s: %d calls", name, most)
 	}
--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	agentFirst = time.Second // after which a new process makes do with the list that it was started with
-	maxObject  = 8 << 20     // bytes of one object of a watch
+	defaultCachedListDelay = time.Second // after which a new process makes do with the list that it was started with
+	maxObjectBytes         = 8 << 20     // bytes of one object of a watch
 )
 
 // List is a message of discovery: a full list or changes to it.
@@ -45,7 +45,7 @@
 	BootMS   float64 `json:"boot_ms"`
 }
 
-var states = map[string]forkline.ServerState{
+var serverStates = map[string]forkline.ServerState{
 	"Ready": forkline.Ready, "Terminating": forkline.Draining, "Gone": forkline.Removed,
 }
 
@@ -56,10 +56,10 @@
 		return l, err
 	}
 	for i, t := range l.Targets {
-		if _, ok := states[t.State]; !ok || t.UID == "" {
+		if _, ok := serverStates[t.State]; !ok || t.UID == "" {
 			return l, fmt.Errorf("targets[%d]: uid %q or state %q is unknown", i, t.UID, t.State)
 		}
-		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && states[t.State] != forkline.Removed {
+		if _, _, err := net.SplitHostPort(t.Endpoint); err != nil && serverStates[t.State] != forkline.Removed {
 			return l, fmt.Errorf("targets[%d]: endpoint: %w", i, err)
 		}
 	}
@@ -67,19 +67,19 @@
 }
 
 // changed is a list with changes carried out.
-func (l List) changed(by List) List {
-	all := List{Rev: by.Rev, Full: true}
-	told := slices.Concat(l.Targets, by.Targets)
-	last := make(map[string]int, len(told))
-	for i, t := range told {
+func (l List) merge(delta List) List {
+	merged := List{Rev: delta.Rev, Full: true}
+	targets := slices.Concat(l.Targets, delta.Targets)
+	last := make(map[string]int, len(targets))
+	for i, t := range targets {
 		last[t.UID] = i
 	}
-	for i, t := range told {
+	for i, t := range targets {
 		if last[t.UID] == i && t.State != "Gone" {
-			all.Targets = append(all.Targets, t)
+			merged.Targets = append(merged.Targets, t)
 		}
 	}
-	return all
+	return merged
 }
 
 // directory gives servers their ids. A uid hashes to the same id at every sidecar, as the module's share-out
@@ -87,12 +87,12 @@
 type directory struct {
 	zones, kinds []string
 	ids          map[string]uint32
-	taken        map[uint32]string
-	told         map[uint32]Target // last, of each server that is listed
+	uids         map[uint32]string
+	targets      map[uint32]Target // last, of each server that is listed
 }
 
 func newDirectory(zones, kinds []string) *directory {
-	return &directory{zones: zones, kinds: kinds, ids: map[string]uint32{}, taken: map[uint32]string{}, told: map[uint32]Target{}}
+	return &directory{zones: zones, kinds: kinds, ids: map[string]uint32{}, uids: map[uint32]string{}, targets: map[uint32]Target{}}
 }
 
 func (d *directory) id(uid string) uint32 {
@@ -102,10 +102,10 @@
 	h := fnv.New32a()
 	io.WriteString(h, uid)
 	id := h.Sum32()
-	for d.taken[id] != "" {
+	for d.uids[id] != "" {
 		id++
 	}
-	d.ids[uid], d.taken[id] = id, uid
+	d.ids[uid], d.uids[id] = id, uid
 	return id
 }
 
@@ -116,20 +116,20 @@
 		zone = min(len(d.zones), 255)
 	}
 	id := d.id(t.UID)
-	d.told[id] = *t
+	d.targets[id] = *t
 	return forkline.ServerEntry{
 		Server: id, Zone: uint8(zone), Kind: uint16(max(kind, 0)), Cell: t.Cell,
-		State: states[t.State], Weight: t.Weight, Started: t.BootMS,
+		State: serverStates[t.State], Weight: t.Weight, Started: t.BootMS,
 	}
 }
 
 // forget drops servers that no list names any more: uids come and go for as long as a sidecar runs.
-func (d *directory) forget(listed func(id uint32) bool) {
+func (d *directory) prune(isListed func(id uint32) bool) {
 	for uid, id := range d.ids {
-		if !listed(id) {
+		if !isListed(id) {
 			delete(d.ids, uid)
-			delete(d.taken, id)
-			delete(d.told, id)
+			delete(d.uids, id)
+			delete(d.targets, id)
 		}
 	}
 }
@@ -137,29 +137,29 @@
 // discovery makes the calls that a listwatch.Watcher asks for and keeps its time. Where the list is asked for, the
 // module says when to call; where it is pushed, the Watcher does.
 type discovery struct {
-	policy   listwatch.Policy
-	tell     func(List)                                      // a list or a change came
-	failed   func()                                          // the latest call failed, is overdue, or its watch broke
-	answered func()                                          // a call was answered, maybe with no list; nil = nobody wants to know
-	dial     func(context.Context, string) (net.Conn, error) // nil = over TCP
-	random   func() float64                                  // the next number in [0, 1); nil = any
+	policy     listwatch.Policy
+	onList     func(List)                                      // a list or a change came
+	onFailed   func()                                          // the latest call failed, is overdue, or its watch broke
+	onAnswered func()                                          // a call was answered, maybe with no list; nil = nobody wants to know
+	dial       func(context.Context, string) (net.Conn, error) // nil = over TCP
+	random     func() float64                                  // the next number in [0, 1); nil = any
 
-	mu      sync.Mutex
-	addr    string
-	rev     int64 // version of the list held
-	base    context.Context
-	start   time.Time
-	watcher *listwatch.Watcher
-	acts    []listwatch.Action
-	calls   map[int]*watchCall // those under way
-	begun   *watchCall         // the last one that was begun
-	timer   *time.Timer        // for the Watcher's next tick
+	mu       sync.Mutex
+	addr     string
+	rev      int64 // version of the list held
+	baseCtx  context.Context
+	start    time.Time
+	watcher  *listwatch.Watcher
+	actions  []listwatch.Action
+	calls    map[int]*watchCall // those under way
+	lastCall *watchCall         // the last one that was begun
+	timer    *time.Timer        // for the Watcher's next tick
 }
 
 // watchCall is one call, and its watch once it is answered.
 type watchCall struct {
 	number int
-	end    func()
+	cancel func()
 	done   chan struct{} // closed when it is over
 }
 
@@ -178,19 +178,19 @@
 func (d *discovery) follow(ctx context.Context) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.base = ctx
+	d.baseCtx = ctx
 	d.handle(listwatch.Event{Kind: listwatch.EvStart})
 }
 
 // once has the list watched, unless it is, and waits until the call and its watch are over.
-func (d *discovery) once(ctx context.Context) {
+func (d *discovery) poll(ctx context.Context) {
 	d.mu.Lock()
-	d.base = ctx
-	before := d.begun
+	d.baseCtx = ctx
+	previous := d.lastCall
 	d.handle(listwatch.Event{Kind: listwatch.EvPoll})
-	c := d.begun
+	c := d.lastCall
 	d.mu.Unlock()
-	if c != before {
+	if c != previous {
 		<-c.done
 	}
 }
@@ -205,23 +205,23 @@
 		d.timer = time.AfterFunc(time.Hour, d.tick)
 		d.timer.Stop()
 	}
-	if d.base != nil && d.base.Err() != nil {
+	if d.baseCtx != nil && d.baseCtx.Err() != nil {
 		return // nothing is followed any more
 	}
-	d.acts = d.watcher.Handle(time.Since(d.start), ev, d.acts[:0])
-	for _, a := range d.acts {
+	d.actions = d.watcher.Handle(time.Since(d.start), ev, d.actions[:0])
+	for _, a := range d.actions {
 		switch a.Kind {
 		case listwatch.ActStartCall:
-			ctx, end := context.WithCancel(d.base)
-			d.begun = &watchCall{number: a.Call, end: end, done: make(chan struct{})}
-			d.calls[a.Call] = d.begun
-			go d.run(ctx, d.begun, d.addr, d.rev)
+			ctx, cancel := context.WithCancel(d.baseCtx)
+			d.lastCall = &watchCall{number: a.Call, cancel: cancel, done: make(chan struct{})}
+			d.calls[a.Call] = d.lastCall
+			go d.runCall(ctx, d.lastCall, d.addr, d.rev)
 		case listwatch.ActCancelCall:
 			if c := d.calls[a.Call]; c != nil {
-				c.end()
+				c.cancel()
 			}
 		case listwatch.ActReportFailure:
-			d.failed()
+			d.onFailed()
 		}
 	}
 	if at, ok := d.watcher.NextTick(); ok {
@@ -238,9 +238,9 @@
 }
 
 // run makes one call and reports its end.
-func (d *discovery) run(ctx context.Context, c *watchCall, addr string, rev int64) {
+func (d *discovery) runCall(ctx context.Context, c *watchCall, addr string, rev int64) {
 	err := d.watch(ctx, c.number, addr, rev)
-	c.end()
+	c.cancel()
 	slog.Info("watch ended", "addr", addr, "err", err)
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -249,15 +249,15 @@
 	close(c.done)
 }
 
-var errOvertaken = errors.New("another call has been answered")
+var errSuperseded = errors.New("another call has been answered")
 
 // hear hands what came on a call to the Watcher and runs f, unless another call is listened to.
-func (d *discovery) hear(number int, kind listwatch.EventKind, f func()) error {
+func (d *discovery) deliver(number int, kind listwatch.EventKind, f func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.handle(listwatch.Event{Kind: kind, Call: number})
 	if d.watcher.ActiveCall() != number {
-		return errOvertaken
+		return errSuperseded
 	}
 	f()
 	return nil
@@ -291,17 +291,17 @@
 	if res.StatusCode != http.StatusOK {
 		return errors.New(res.Status)
 	}
-	err = d.hear(number, listwatch.EvAnswered, func() {
-		if d.answered != nil {
-			d.answered()
+	err = d.deliver(number, listwatch.EvAnswered, func() {
+		if d.onAnswered != nil {
+			d.onAnswered()
 		}
 	})
 	if err != nil {
 		return err
 	}
-	alive := func() { d.hear(number, listwatch.EvActivity, func() {}) } // one that is overtaken ends by itself
-	for objects := (&objects{r: bufio.NewReader(res.Body), alive: alive}); ; {
-		text, err := objects.next()
+	onActivity := func() { d.deliver(number, listwatch.EvActivity, func() {}) } // one that is overtaken ends by itself
+	for reader := (&objectReader{r: bufio.NewReader(res.Body), onActivity: onActivity}); ; {
+		text, err := reader.next()
 		if err != nil {
 			return err
 		}
@@ -309,7 +309,7 @@
 		if err != nil {
 			return fmt.Errorf("list: %w", err)
 		}
-		if err := d.hear(number, listwatch.EvActivity, func() { d.rev = l.Rev; d.tell(l) }); err != nil {
+		if err := d.deliver(number, listwatch.EvActivity, func() { d.rev = l.Rev; d.onList(l) }); err != nil {
 			return err
 		}
 	}
@@ -318,15 +318,15 @@
 // objects splits a watch into its JSON objects. Each stands on a line of its own, or on several if it is indented, so
 // the braces tell where it ends. Whole objects, and line ends between them, are signs of life; a part of one is none,
 // or a watch that trickles would never be taken for dead.
-type objects struct {
-	r     *bufio.Reader
-	alive func()
+type objectReader struct {
+	r          *bufio.Reader
+	onActivity func()
 }
 
 var errNoObject = errors.New("list: no JSON object")
 
 // next reads up to the end of the next object.
-func (o *objects) next() ([]byte, error) {
+func (o *objectReader) next() ([]byte, error) {
 	var text []byte
 	for depth, quoted, escaped := 0, false, false; ; {
 		b, err := o.r.ReadByte()
@@ -334,14 +334,14 @@
 		case err != nil:
 			return nil, err
 		case depth == 0 && b == '\n':
-			o.alive()
+			o.onActivity()
 			continue
 		case depth == 0 && (b == ' ' || b == '\t' || b == '\r'):
 			continue
 		case depth == 0 && b != '{':
 			return nil, errNoObject
-		case len(text) == maxObject:
-			return nil, errTooLong
+		case len(text) == maxObjectBytes:
+			return nil, errTooLarge
 		}
 		text = append(text, b)
 		switch {
@@ -355,7 +355,7 @@
 			depth++
 		case b == '}':
 			if depth--; depth == 0 {
-				o.alive()
+				o.onActivity()
 				return text, nil
 			}
 		}
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -195,10 +195,10 @@
 		d.dial = func(ctx context.Context, addr string) (net.Conn, error) {
 			return services[addr].dial(ctx, i, d.policy.DialTimeout)
 		}
-		l.watch = func() { go d.once(ctx) }
+		l.requestWatch = func() { go d.poll(ctx) }
 		go l.run()
 		if asked {
-			l.post(func() { l.list(List{}, forkline.ListCached) })
+			l.post(func() { l.updateList(List{}, forkline.ListCached) })
 		} else {
 			d.follow(ctx)
 		}
@@ -207,14 +207,14 @@
 	move = func(addr string) {
 		for i, d := range all {
 			if d.move(addr) {
-				loops[i].post(func() { loops[i].listEvent(forkline.ListMoved) })
+				loops[i].post(func() { loops[i].handleListEvent(forkline.ListMoved) })
 			}
 		}
 	}
 	return move, func() {
 		cancel()
 		for _, l := range loops {
-			close(l.ended)
+			close(l.done)
 		}
 	}
 }
@@ -331,7 +331,7 @@
 	}
 	s := start(t, cfg)
 	listed := func() (listed, usable int) {
-		s.loop.ask(func() { listed, usable = len(s.loop.listed), s.loop.usable })
+		s.loop.postAndWait(func() { listed, usable = len(s.loop.serverReady), s.loop.readyServers })
 		return listed, usable
 	}
 	serves := func(id string) {
@@ -351,7 +351,7 @@
 		}
 		half.Targets = append(half.Targets, target)
 	}
-	s.loop.ask(func() { s.loop.list(half, forkline.ListDelta) })
+	s.loop.postAndWait(func() { s.loop.updateList(half, forkline.ListDelta) })
 	if all, usable := listed(); all != many || usable != many/2 {
 		t.Errorf("%d listed and %d usable, want %d and %d", all, usable, many, many/2)
 	}
@@ -364,12 +364,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.loop.ask(func() { s.loop.list(list, forkline.ListFull) })
+	s.loop.postAndWait(func() { s.loop.updateList(list, forkline.ListFull) })
 	if all, usable := listed(); all != many || usable != many {
 		t.Errorf("%d listed and %d usable, want %d of each", all, usable, many)
 	}
 	serves("whole")
-	if changed := list.changed(half); len(changed.Targets) != many || changed.Targets[0].State != "Terminating" {
+	if changed := list.merge(half); len(changed.Targets) != many || changed.Targets[0].State != "Terminating" {
 		t.Errorf("%d targets after the changes, the first %+v", len(changed.Targets), changed.Targets[0])
 	}
 }
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -35,7 +35,7 @@
 func TestALongRepeatIsNotWholeTooLate(t *testing.T) {
 	for name, late := range map[string]func(c net.Conn){
 		"behind a full socket buffer": func(c net.Conn) { c.(*net.TCPConn).SetWriteBuffer(4 << 10) },
-		"behind unacknowledged bytes": func(c net.Conn) { c.(*net.TCPConn).SetWriteBuffer(4 * maxBody) },
+		"behind unacknowledged bytes": func(c net.Conn) { c.(*net.TCPConn).SetWriteBuffer(4 * maxBodyBytes) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := stuck(t)
@@ -51,7 +51,7 @@
 				if err == nil {
 					_, err = req.Body.Read(make([]byte, 1))
 					for err == nil {
-						_, err = req.Body.Read(make([]byte, maxBody))
+						_, err = req.Body.Read(make([]byte, maxBodyBytes))
 					}
 				}
 				whole <- err != nil && err.Error() == "EOF"
@@ -63,9 +63,9 @@
 			defer raw.Close()
 			late(raw)
 			out := get()
-			out.start, out.body = "POST /add/x HTTP/1.1\r\nHost: backend.local\r\n", make([]byte, maxBody)
+			out.preamble, out.body = "POST /add/x HTTP/1.1\r\nHost: backend.local\r\n", make([]byte, maxBodyBytes)
 			a := newAttempt(time.Time{})
-			a.whole = time.Now().Add(100 * time.Millisecond)
+			a.lastByteBy = time.Now().Add(100 * time.Millisecond)
 			readOn := sync.OnceFunc(func() { close(goOn) })
 			defer time.AfterFunc(200*time.Millisecond, readOn).Stop()
 			got, _, keep := exchange(a, &conn{Conn: raw, reader: bufio.NewReader(raw)}, out, time.Now().Add(5*time.Second), 0)
@@ -86,9 +86,9 @@
 	ln := script(t, echo)
 	u := pool(ln.Addr().String(), 4)
 	out := get()
-	out.start, out.body = "POST /add/x HTTP/1.1\r\nHost: backend.local\r\n", make([]byte, maxBody)
+	out.preamble, out.body = "POST /add/x HTTP/1.1\r\nHost: backend.local\r\n", make([]byte, maxBodyBytes)
 	a := newAttempt(time.Time{})
-	a.whole = time.Now().Add(long)
+	a.lastByteBy = time.Now().Add(long)
 	if got, _ := u.do(a, u.find(1), out, time.Now().Add(long)); got != forkline.OK {
 		t.Errorf("outcome %v", got)
 	}
@@ -121,13 +121,13 @@
 			}
 			first := u.find(1).idle[0]
 			out := get()
-			out.once, out.safe = c.once, c.safe
+			out.atMostOnce, out.safe = c.once, c.safe
 			if got, _ := u.do(newAttempt(time.Time{}), u.find(1), out, time.Now().Add(long)); got != c.want {
 				t.Errorf("outcome %v, want %v", got, c.want)
 			}
 			kept := slices.Contains(u.find(1).idle, first)
-			if kept != c.once || u.open != c.open {
-				t.Errorf("the first connection is kept: %v, and %d are open, want %d", kept, u.open, c.open)
+			if kept != c.once || u.openConns != c.open {
+				t.Errorf("the first connection is kept: %v, and %d are open, want %d", kept, u.openConns, c.open)
 			}
 		})
 	}
@@ -151,8 +151,8 @@
 		}()
 		a := newAttempt(time.Time{})
 		c := &conn{Conn: near, reader: bufio.NewReader(near)}
-		if got, _, _ := exchange(a, c, get(), time.Now().Add(long), 0); got != forkline.OK || a.service != service {
-			t.Errorf("outcome %v, service %v, want %v", got, a.service, service)
+		if got, _, _ := exchange(a, c, get(), time.Now().Add(long), 0); got != forkline.OK || a.serviceTime != service {
+			t.Errorf("outcome %v, service %v, want %v", got, a.serviceTime, service)
 		}
 	})
 }
@@ -172,14 +172,14 @@
 	} {
 		if want.outcome != forkline.OK {
 			ln.Close()
-			u.closeAll(1)
+			u.closeServerIdle(1)
 		}
 		var told []bool
 		a := newAttempt(time.Time{})
-		a.waits = func(waits bool) { told = append(told, waits) }
+		a.onConnecting = func(waits bool) { told = append(told, waits) }
 		got, _ := u.do(a, u.find(1), get(), time.Now().Add(long))
-		if got != want.outcome || !slices.Equal(told, want.told) || a.fresh != want.fresh {
-			t.Errorf("attempt %d: outcome %v, told as %v, fresh %v, want %+v", i, got, told, a.fresh, want)
+		if got != want.outcome || !slices.Equal(told, want.told) || a.newConnection != want.fresh {
+			t.Errorf("attempt %d: outcome %v, told as %v, fresh %v, want %+v", i, got, told, a.newConnection, want)
 		}
 	}
 }
@@ -194,12 +194,12 @@
 		t.Fatal(err)
 	}
 	for i, mails := range []int{3, 1} { // it waits, it is up, it is over; on a connection that is open, the last
-		l.send(&call{out: *get(), reply: func(answer) {}}, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: l.now() + 1e6})
+		l.send(&call{outgoing: *get(), respond: func(response) {}}, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: l.now() + 1e6})
 		for range mails {
-			(<-l.mail)()
+			(<-l.queue)()
 		}
-		if len(l.mail) > 0 || len(u.find(1).idle) != 1 {
-			t.Errorf("attempt %d: %d more mails, %d connections kept", i, len(l.mail), len(u.find(1).idle))
+		if len(l.queue) > 0 || len(u.find(1).idle) != 1 {
+			t.Errorf("attempt %d: %d more mails, %d connections kept", i, len(l.queue), len(u.find(1).idle))
 		}
 	}
 }
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -22,7 +22,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
+	s.cachedListDelay = 0
 	if change != nil {
 		change(s)
 	}
@@ -59,7 +59,7 @@
 		"long length":         {pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
 		"chunks that are not": {pay + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + hidden, 400},
 		"noise":               {"\x16\x03\x01\x00\xa5\r\n\r\n" + hidden, 400},
-		"head without end":    {pay + strings.Repeat("X-Pad: p\r\n", maxHead/10+1), 413},
+		"head without end":    {pay + strings.Repeat("X-Pad: p\r\n", maxHeadBytes/10+1), 413},
 		"another protocol":    {"GET /read/x HTTP/2.0\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: 1\r\n\r\n" + hidden, 400},
 		"no class":            {"GET /nothing HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n" + hidden, 404},
 	} {
@@ -94,7 +94,7 @@
 
 // Callers that say nothing, send half a request, or keep a connection for good must not hold it.
 func TestQuietConnectionsEnd(t *testing.T) {
-	s, came := serving(t, func(s *Sidecar) { s.front.quiet = 20 * time.Millisecond })
+	s, came := serving(t, func(s *Sidecar) { s.front.requestTimeout = 20 * time.Millisecond })
 	for name, text := range map[string]string{
 		"silent":    "",
 		"half head": "POST /pay/x HTTP/1.1\r\nHost:",
@@ -117,8 +117,8 @@
 	c.ends(t)
 	s.front.downstream.mu.Lock()
 	defer s.front.downstream.mu.Unlock()
-	if n := s.front.downstream.quiet.Len(); n > s.front.downstream.open {
-		t.Errorf("%d connections are held quiet of %d open", n, s.front.downstream.open)
+	if n := s.front.downstream.idle.Len(); n > s.front.downstream.openConns {
+		t.Errorf("%d connections are held quiet of %d open", n, s.front.downstream.openConns)
 	}
 }
 
@@ -181,9 +181,9 @@
 		}
 	}
 	for left, end := 1, time.Now().Add(long); left > 0; {
-		s.loop.ask(func() {
-			left = len(s.loop.calls) + len(s.loop.ids)
-			for _, d := range s.loop.agenda {
+		s.loop.postAndWait(func() {
+			left = len(s.loop.calls) + len(s.loop.callsByID)
+			for _, d := range s.loop.timerQueue {
 				if d.call != nil {
 					left++
 				}
@@ -224,14 +224,14 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r := bufio.NewReader(strings.NewReader(string(text)))
 		m, err := readMessage(r)
-		if err != nil || !strings.HasSuffix(m.first, " HTTP/1.1") || !strings.HasPrefix(m.first, "POST / ") {
+		if err != nil || !strings.HasSuffix(m.startLine, " HTTP/1.1") || !strings.HasPrefix(m.startLine, "POST / ") {
 			return
 		}
-		if m.length == untold {
+		if m.length == lengthUnspecified {
 			m.length = 0
 		}
 		body, err := readBody(r, m.length)
-		if len(body) > maxBody+1 {
+		if len(body) > maxBodyBytes+1 {
 			t.Errorf("body of %d bytes", len(body))
 		}
 		if err != nil {
@@ -257,11 +257,11 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		status, m, body, err := readAnswer(bufio.NewReader(strings.NewReader(string(text))))
+		status, m, body, err := readFinalResponse(bufio.NewReader(strings.NewReader(string(text))))
 		if err != nil {
 			return
 		}
-		if len(body) > maxBody || status < 200 || status > 999 || m.length == untold && len(body) > 0 {
+		if len(body) > maxBodyBytes || status < 200 || status > 999 || m.length == lengthUnspecified && len(body) > 0 {
 			t.Errorf("status %d, %d bytes, head %v", status, len(body), m)
 		}
 	})
--- a/internal/sidecar/leaving_test.go
+++ b/internal/sidecar/leaving_test.go
@@ -67,7 +67,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
+	s.cachedListDelay = 0
 	if change != nil {
 		change(s)
 	}
@@ -75,9 +75,9 @@
 	hooked(func(c *net.TCPConn) net.Conn { far <- c; return c })(s)
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.Run(ctx)
-	t.Cleanup(func() { s.discovery.move(nowhere()); s.front.accept = 0; cancel() })
+	t.Cleanup(func() { s.discovery.move(nowhere()); s.front.drainAcceptTime = 0; cancel() })
 	eventually(t, "the list", func() (has bool) {
-		s.loop.ask(func() { has = len(s.loop.listed) > 0 })
+		s.loop.postAndWait(func() { has = len(s.loop.serverReady) > 0 })
 		return has
 	})
 	return s, func(id string) leaver {
@@ -113,7 +113,7 @@
 // mailed waits until something is in the loop's mail.
 func mailed(t *testing.T, s *Sidecar) {
 	t.Helper()
-	eventually(t, "the loop's mail", func() bool { return len(s.loop.mail) > 0 })
+	eventually(t, "the loop's mail", func() bool { return len(s.loop.queue) > 0 })
 }
 
 // forgets sees that nothing is kept of those that left, that the next request to come out is a further one, and that
@@ -121,7 +121,7 @@
 func forgets(t *testing.T, s *Sidecar, came <-chan string) {
 	t.Helper()
 	eventually(t, "the end of all that was kept", func() (none bool) {
-		s.loop.ask(func() { none = len(s.loop.calls)+len(s.loop.ids)+len(s.loop.again) == 0 })
+		s.loop.postAndWait(func() { none = len(s.loop.calls)+len(s.loop.callsByID)+len(s.loop.pendingRetries) == 0 })
 		return none
 	})
 	c := dial(t, s)
@@ -178,15 +178,15 @@
 					c.send("GET", "read", "")
 					taken(t, s, func(*call) bool { return true })
 					z := seize(s)
-					for full && len(s.loop.mail) < cap(s.loop.mail) {
-						s.loop.mail <- func() {}
+					for full && len(s.loop.queue) < cap(s.loop.queue) {
+						s.loop.queue <- func() {}
 					}
 					io.WriteString(c, strings.Repeat("x", n))
 					c.leaves(t, leave)
 					z.do(func() {
 						target := cfg.InitialList.Targets[0]
 						target.State = "Ready"
-						s.loop.list(List{Targets: []Target{target}}, forkline.ListDelta)
+						s.loop.updateList(List{Targets: []Target{target}}, forkline.ListDelta)
 					})
 					z.settle()
 					z.free()
@@ -217,7 +217,7 @@
 		z.do(func() {
 			target := cfg.InitialList.Targets[0]
 			target.State = "Ready"
-			s.loop.list(List{Targets: []Target{target}}, forkline.ListDelta)
+			s.loop.updateList(List{Targets: []Target{target}}, forkline.ListDelta)
 			for _, c := range s.loop.calls {
 				decided += len(c.attempts)
 			}
@@ -225,7 +225,7 @@
 		z.settle()
 		z.free()
 		eventually(t, "the end of the request", func() (none bool) {
-			s.loop.ask(func() { none = len(s.loop.calls) == 0 })
+			s.loop.postAndWait(func() { none = len(s.loop.calls) == 0 })
 			return none
 		})
 	}
@@ -235,10 +235,10 @@
 // The client leaves while a connection for its request comes up late.
 func TestLeavingWhileDialling(t *testing.T) {
 	ln, filler := crowded(t)
-	s, arrive := watched(t, patient(t, ln.Addr().String()), func(s *Sidecar) { s.loop.up.grace = 0 }) // else it is late
+	s, arrive := watched(t, patient(t, ln.Addr().String()), func(s *Sidecar) { s.loop.upstream.firstByteTimeout = 0 }) // else it is late
 	c := arrive("left")
 	c.send("GET", "read", "")
-	taken(t, s, func(c *call) bool { return c.open == 1 })
+	taken(t, s, func(c *call) bool { return c.openAttempts == 1 })
 	z := seize(s)
 	c.leaves(t, closes)
 	filler.Close()
@@ -296,7 +296,7 @@
 	}()
 	cfg := patient(t, ln.Addr().String())
 	cfg.Site.Settings.Classes[1].TargetLatency, cfg.Site.Settings.Classes[1].Timeout = 100000, 100000
-	s, arrive := watched(t, cfg, func(s *Sidecar) { s.loop.up.hold = time.Hour })
+	s, arrive := watched(t, cfg, func(s *Sidecar) { s.loop.upstream.breakCheckTime = time.Hour })
 	c := arrive("left")
 	c.send("POST", "pay", "")
 	<-began
@@ -353,7 +353,7 @@
 	first := seize(s)
 	second := seize(s) // ahead of the news
 	again.leaves(t, closes)
-	first.do(func() { old.open--; s.loop.release(old) })
+	first.do(func() { old.openAttempts--; s.loop.release(old) })
 	first.free()
 	second.settle()
 	second.free()
@@ -369,11 +369,11 @@
 	again = arrive("copy")
 	first.send("GET", "read", "")
 	eventually(t, "the first attempt", out)
-	s.loop.ask(func() { old = s.loop.ids["copy"]; old.open++ })
+	s.loop.postAndWait(func() { old = s.loop.callsByID["copy"]; old.openAttempts++ })
 	first.leaves(t, closes)
-	eventually(t, "the leaving", func() (ended bool) { s.loop.ask(func() { ended = old.ended }); return ended })
+	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = old.ended }); return ended })
 	again.send("GET", "read", "")
-	eventually(t, "the second copy", func() (waits bool) { s.loop.ask(func() { waits = old.again != nil }); return waits })
+	eventually(t, "the second copy", func() (waits bool) { s.loop.postAndWait(func() { waits = old.retry != nil }); return waits })
 	return old, again
 }
 
@@ -389,9 +389,9 @@
 	defer close(hold)
 	old, second := copies(t, s, arrive, func() bool { return len(came) == 1 })
 	var waits *call
-	s.loop.ask(func() { waits = old.again })
+	s.loop.postAndWait(func() { waits = old.retry })
 	second.leaves(t, closes)
-	eventually(t, "the leaving", func() (ended bool) { s.loop.ask(func() { ended = waits.ended }); return ended })
+	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = waits.ended }); return ended })
 	third := arrive("copy")
 	third.send("GET", "read", "")
 	answered := make(chan int, 1)
@@ -402,10 +402,10 @@
 		close(answered)
 	}()
 	eventually(t, "the third copy", func() (taken bool) {
-		s.loop.ask(func() { taken = old.again != waits || len(answered) > 0 })
+		s.loop.postAndWait(func() { taken = old.retry != waits || len(answered) > 0 })
 		return taken
 	})
-	s.loop.post(func() { old.open--; s.loop.release(old) })
+	s.loop.post(func() { old.openAttempts--; s.loop.release(old) })
 	if status := <-answered; status != 200 || len(came) != 2 {
 		t.Errorf("status %d after %d sends", status, len(came))
 	}
@@ -433,9 +433,9 @@
 		written := 0
 		w := &writes{Conn: near, wrote: func() { written++ }}
 		a := newAttempt(time.Time{})
-		a.left = func() bool { return written >= leftAfter }
+		a.clientDisconnected = func() bool { return written >= leftAfter }
 		out := get()
-		out.body = bytes.Repeat([]byte("x"), maxBody)
+		out.body = bytes.Repeat([]byte("x"), maxBodyBytes)
 		got, answer, keep := exchange(a, &conn{Conn: w, reader: bufio.NewReader(w)}, out, time.Now().Add(long), 0)
 		if got != forkline.NotSent || answer != nil || keep != (leftAfter == 0) || written != leftAfter {
 			t.Errorf("%s: outcome %v, keep %v after %d writes", name, got, keep, written)
@@ -443,7 +443,7 @@
 		if _, err := http.ReadRequest(bufio.NewReader(&w.text)); leftAfter > 0 && err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if n := w.text.Len(); leftAfter > 0 && n >= maxBody {
+		if n := w.text.Len(); leftAfter > 0 && n >= maxBodyBytes {
 			t.Errorf("%s: all of the body is out", name)
 		}
 	}
@@ -459,32 +459,32 @@
 	request := func() (*call, *bool) {
 		left := false
 		return &call{
-			id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, left: func() bool { return left },
-			reply: func(a answer) { statuses <- a.status },
+			id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, clientGone: func() bool { return left },
+			respond: func(a response) { statuses <- a.status },
 		}, &left
 	}
-	s.loop.ask(func() {
+	s.loop.postAndWait(func() {
 		first, firstLeft := request()
 		second, secondLeft := request()
 		third, _ := request()
-		s.loop.take(first)
+		s.loop.accept(first)
 		*firstLeft = true
-		first.open++ // an attempt is out
-		s.loop.take(second)
-		if !first.ended || first.again != second {
+		first.openAttempts++ // an attempt is out
+		s.loop.accept(second)
+		if !first.ended || first.retry != second {
 			t.Error("the second does not wait for the end of the first")
 		}
 		*secondLeft = true
-		s.loop.take(third)
-		if !second.ended || first.again != third {
+		s.loop.accept(third)
+		if !second.ended || first.retry != third {
 			t.Error("the third does not wait for the end of the first")
 		}
-		s.loop.gone(first) // the news
-		s.loop.gone(second)
-		first.open--
+		s.loop.handleDisconnect(first) // the news
+		s.loop.handleDisconnect(second)
+		first.openAttempts--
 		s.loop.release(first)
-		s.loop.expire()
-		if s.loop.ids["id"] != third || third.ended || len(s.loop.calls) != 1 {
+		s.loop.runDue()
+		if s.loop.callsByID["id"] != third || third.ended || len(s.loop.calls) != 1 {
 			t.Error("the third is not taken")
 		}
 	})
@@ -498,7 +498,7 @@
 func TestARequestAtTheEndOfTheQuietTime(t *testing.T) {
 	at, on := make(chan struct{}, 1), make(chan struct{})
 	s := undrained(t, echo, func(s *Sidecar) {
-		s.front.quiet = time.Nanosecond
+		s.front.requestTimeout = time.Nanosecond
 		hooked(func(c *net.TCPConn) net.Conn { return lateReader{c, false, at, on} })(s)
 	})
 	c := dial(t, s)
@@ -507,8 +507,8 @@
 	eventually(t, "the request", func() bool {
 		s.front.downstream.mu.Lock()
 		defer s.front.downstream.mu.Unlock()
-		e := s.front.downstream.quiet.Front()
-		return e != nil && e.Value.(*downstreamConn).unread()
+		e := s.front.downstream.idle.Front()
+		return e != nil && e.Value.(*downstreamConn).hasUnread()
 	})
 	close(on)
 	if res, _ := c.answer(t); res.StatusCode != 200 {
@@ -519,7 +519,7 @@
 // Bad clients are owed an error or a close within 3 s of connecting, whatever they send or leave out.
 func TestBadClientsEndInTime(t *testing.T) {
 	const owed, turn = 3 * time.Second, 250 * time.Millisecond
-	if end := quietTime + lingerTime + turn; end > owed {
+	if end := defaultRequestTimeout + lingerTimeout + turn; end > owed {
 		t.Errorf("a connection may stay for %v", end)
 	}
 }
@@ -528,20 +528,20 @@
 // time, as it has not heard of it for longer than it looks.
 func TestAnUnusedConnectionDoesNotLookFresh(t *testing.T) {
 	for name, change := range map[string]func(*attempt){
-		"client left": func(a *attempt) { a.left = func() bool { return true } },
-		"late":        func(a *attempt) { a.begin = time.Now().Add(-time.Second) },
+		"client left": func(a *attempt) { a.clientDisconnected = func() bool { return true } },
+		"late":        func(a *attempt) { a.firstByteBy = time.Now().Add(-time.Second) },
 	} {
 		addr, came := noting(t)
 		u := pool(addr, 4)
 		if got, _ := attemptOn(u, long); got != forkline.OK {
 			t.Fatalf("outcome %v", got)
 		}
-		u.find(1).idle[0].since = time.Now().Add(-time.Second)
+		u.find(1).idle[0].idleSince = time.Now().Add(-time.Second)
 		a := newAttempt(time.Time{})
 		change(a)
 		u.do(a, u.find(1), get(), time.Now().Add(long))
-		if u.open != 0 || len(came) != 1 {
-			t.Errorf("%s: %d connections are kept after %d requests", name, u.open, len(came))
+		if u.openConns != 0 || len(came) != 1 {
+			t.Errorf("%s: %d connections are kept after %d requests", name, u.openConns, len(came))
 		}
 	}
 }
--- a/internal/sidecar/margin_test.go
+++ b/internal/sidecar/margin_test.go
@@ -25,13 +25,13 @@
 		}
 		go l.run()
 		f(t, newFront(l, &cfg.Site.Settings, 64))
-		close(l.ended)
+		close(l.done)
 	})
 }
 
 // request is the head of one whose client waits for so many seconds.
 func request(deadline string) message {
-	return message{first: "GET /read/x HTTP/1.1", header: http.Header{
+	return message{startLine: "GET /read/x HTTP/1.1", header: http.Header{
 		"X-Class": {"read"}, "X-Request-Id": {"1"}, "X-Deadline": {deadline},
 	}}
 }
@@ -44,7 +44,7 @@
 	t.Helper()
 	here, there := net.Pipe()
 	defer here.Close()
-	go f.talk(f.downstream.add(slowToWake{there, woken}))
+	go f.serveConn(f.downstream.admit(slowToWake{there, woken}))
 	reader := bufio.NewReader(here)
 	for begun := time.Now(); time.Since(begun) < long; {
 		sent := time.Now()
@@ -84,16 +84,16 @@
 		},
 		"a timer": func(t *testing.T, f *front) {
 			l := f.loop
-			l.ask(func() {
-				heap.Push(&l.agenda, &due{at: l.now() + 1, token: 1 << 60})
+			l.postAndWait(func() {
+				heap.Push(&l.timerQueue, &timerEntry{at: l.now() + 1, token: 1 << 60})
 				time.Sleep(late + time.Millisecond)
 			})
 		},
 		"an answer": func(t *testing.T, f *front) { callsFrom(t, f, time.Millisecond, late) },
 		"an outcome": func(t *testing.T, f *front) {
 			l := f.loop
-			l.ask(func() {
-				c := &call{reply: func(answer) {}}
+			l.postAndWait(func() {
+				c := &call{respond: func(response) {}}
 				l.calls[1<<30] = c
 				l.send(c, &forkline.Action{Kind: forkline.ActSend, Request: 1 << 30, Server: 1 << 30})
 				time.Sleep(late)
@@ -105,7 +105,7 @@
 				calls(t, f, 2*time.Second)
 				wait(t, f)
 				synctest.Wait()
-				if got := f.loop.margin.hold(2000); got < 5+11 || got > 5+25 {
+				if got := f.loop.margin.reserve(2000); got < 5+11 || got > 5+25 {
 					t.Errorf("%v ms are held back after a wait of %v", got, late)
 				}
 			})
@@ -117,7 +117,7 @@
 // one that has measured nothing, and that only for as long as the core is busy.
 func TestTheMarginFollowsTheCore(t *testing.T) {
 	socketless(t, func(t *testing.T, f *front) {
-		held := func() float64 { return f.loop.margin.hold(2000) }
+		held := func() float64 { return f.loop.margin.reserve(2000) }
 		if got := held(); got != 50 {
 			t.Errorf("%v ms are held back before anything was measured, want 50", got)
 		}
@@ -158,7 +158,7 @@
 					if k == nil {
 						t.Fatal(complaint)
 					}
-					k.due(f.loop.clock(sent))
+					k.setDeadline(f.loop.clockMS(sent))
 					time.Sleep(after)
 					told := make(chan float64, 1)
 					here, there := net.Pipe()
@@ -171,7 +171,7 @@
 						close(told)
 						there.Close()
 					}()
-					exchange(newAttempt(time.Time{}), &conn{Conn: here, reader: bufio.NewReader(here)}, &k.out, f.loop.time(k.event.Deadline), 0)
+					exchange(newAttempt(time.Time{}), &conn{Conn: here, reader: bufio.NewReader(here)}, &k.outgoing, f.loop.timeAt(k.event.Deadline), 0)
 					here.Close()
 					asked, _ := strconv.ParseFloat(deadline, 64)
 					left := min(asked, 2.5) - time.Since(sent).Seconds()
@@ -199,12 +199,12 @@
 				k.event.Class = 99 // which the module does not know
 				took := make(chan float64, 1)
 				sent := time.Now()
-				k.reply = func(answer) { took <- time.Since(sent).Seconds() }
-				k.due(f.loop.clock(sent))
-				f.loop.post(func() { f.loop.take(k) })
+				k.respond = func(response) { took <- time.Since(sent).Seconds() }
+				k.setDeadline(f.loop.clockMS(sent))
+				f.loop.post(func() { f.loop.accept(k) })
 				asked, _ := strconv.ParseFloat(deadline, 64)
-				if got := <-took; got >= asked || got < k.wait/1000 {
-					t.Errorf("idle %v: answered after %v s; its client waits for %v, the module had %v", idle, got, asked, k.wait/1000)
+				if got := <-took; got >= asked || got < k.answerWithin/1000 {
+					t.Errorf("idle %v: answered after %v s; its client waits for %v, the module had %v", idle, got, asked, k.answerWithin/1000)
 				}
 			}
 		}
--- a/internal/sidecar/race_test.go
+++ b/internal/sidecar/race_test.go
@@ -42,12 +42,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
-	defer close(s.loop.ended)
+	s.cachedListDelay = 0
+	defer close(s.loop.done)
 	s.SetDiscoveryAddr(listen(t).Addr().String())
 	s.SetDiscoveryAddr(cfg.Discovery)
-	for len(s.loop.mail) < cap(s.loop.mail) {
-		s.loop.mail <- func() {}
+	for len(s.loop.queue) < cap(s.loop.queue) {
+		s.loop.queue <- func() {}
 	}
 	go s.loop.post(func() {}) // waits ahead of the list, for the first room there is
 	eventually(t, "a post that waits", func() bool {
@@ -55,13 +55,13 @@
 		all = all[:runtime.Stack(all, true)]
 		return regexp.MustCompile(`\[select.*\]:\n.*\(\*loop\)\.post\(`).Match(all)
 	})
-	telling, tell := make(chan struct{}), s.discovery.tell
-	s.discovery.tell = func(l List) { close(telling); tell(l) }
-	go s.discovery.once(t.Context())
+	telling, tell := make(chan struct{}), s.discovery.onList
+	s.discovery.onList = func(l List) { close(telling); tell(l) }
+	go s.discovery.poll(t.Context())
 	<-telling
 	go s.loop.run()
 	asked := make(chan struct{})
-	go func() { s.loop.ask(func() {}); close(asked) }()
+	go func() { s.loop.postAndWait(func() {}); close(asked) }()
 	select {
 	case <-asked:
 	case <-time.After(long):
@@ -81,7 +81,7 @@
 		ended <- n
 		return false
 	}).Addr().String()
-	d := &discovery{policy: unhurried(long), addr: here, tell: func(List) {}, failed: func() {}}
+	d := &discovery{policy: unhurried(long), addr: here, onList: func(List) {}, onFailed: func() {}}
 	first := make(chan struct{})
 	go func() { d.follow(t.Context()); close(first) }()
 	<-calls
@@ -199,7 +199,7 @@
 					io.WriteString(c, text)
 					leave(c.Conn.(*net.TCPConn))
 					eventually(t, "the end of the request", func() (none bool) {
-						w.s.loop.ask(func() { none = len(w.s.loop.calls) == 0 })
+						w.s.loop.postAndWait(func() { none = len(w.s.loop.calls) == 0 })
 						return none
 					})
 					w.goOn(t)
@@ -229,14 +229,14 @@
 func told(s *Sidecar, cfg *Config, state string) {
 	target := cfg.InitialList.Targets[0]
 	target.State = state
-	s.loop.ask(func() { s.loop.list(List{Targets: []Target{target}}, forkline.ListDelta) })
+	s.loop.postAndWait(func() { s.loop.updateList(List{Targets: []Target{target}}, forkline.ListDelta) })
 }
 
 // taken waits until the sidecar holds a request for which holds is true.
 func taken(t *testing.T, s *Sidecar, holds func(*call) bool) {
 	t.Helper()
 	eventually(t, "the request that waits", func() (seen bool) {
-		s.loop.ask(func() {
+		s.loop.postAndWait(func() {
 			for _, c := range s.loop.calls {
 				seen = seen || holds(c)
 			}
@@ -284,7 +284,7 @@
 	}).Addr().String())
 	s = start(t, cfg)
 	return &waiting{s, func() {
-		taken(t, s, func(c *call) bool { return len(c.attempts) == 1 && c.open == 0 })
+		taken(t, s, func(c *call) bool { return len(c.attempts) == 1 && c.openAttempts == 0 })
 	}, func(t *testing.T) {
 		<-came // the first attempt
 		told(s, &cfg, "Ready")
@@ -317,11 +317,11 @@
 	ln, _ := crowded(t)
 	s := start(t, patient(t, ln.Addr().String()))
 	return &waiting{s, func() {
-		taken(t, s, func(c *call) bool { return c.open == 1 })
+		taken(t, s, func(c *call) bool { return c.openAttempts == 1 })
 	}, func(t *testing.T) {
-		s.loop.up.mu.Lock()
-		defer s.loop.up.mu.Unlock()
-		if s.loop.up.open > 0 {
+		s.loop.upstream.mu.Lock()
+		defer s.loop.upstream.mu.Unlock()
+		if s.loop.upstream.openConns > 0 {
 			t.Error("the dial goes on")
 		}
 	}}
@@ -335,17 +335,17 @@
 	s := start(t, cfg)
 	statuses := make(chan int, 3)
 	request := func() *call {
-		return &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, reply: func(a answer) { statuses <- a.status }}
+		return &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, respond: func(a response) { statuses <- a.status }}
 	}
 	second := request()
-	s.loop.ask(func() { s.loop.take(request()) })
-	s.loop.ask(func() { s.loop.take(second) })
-	s.loop.ask(func() { s.loop.gone(second) }) // its answer and its client cross
-	s.loop.ask(func() { s.loop.take(request()) })
+	s.loop.postAndWait(func() { s.loop.accept(request()) })
+	s.loop.postAndWait(func() { s.loop.accept(second) })
+	s.loop.postAndWait(func() { s.loop.handleDisconnect(second) }) // its answer and its client cross
+	s.loop.postAndWait(func() { s.loop.accept(request()) })
 	if len(statuses) != 2 || <-statuses != http.StatusConflict || <-statuses != http.StatusConflict {
 		t.Fatal("a request was taken beside one of its id")
 	}
-	if s.loop.ask(func() { s.loop.giveUpAll() }); <-statuses != statusRefused {
+	if s.loop.postAndWait(func() { s.loop.abortAll() }); <-statuses != statusRefused {
 		t.Error("the first request was not kept")
 	}
 }
@@ -355,14 +355,14 @@
 	s := undrained(t, echo, nil)
 	statuses := make(chan int, 2)
 	request := func() *call {
-		return &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, reply: func(a answer) { statuses <- a.status }}
+		return &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, respond: func(a response) { statuses <- a.status }}
 	}
 	old := request()
-	s.loop.ask(func() {
-		old.ended, old.open = true, 1
-		s.loop.ids["id"], s.loop.calls[9] = old, old
-		s.loop.take(request())
-		s.loop.giveUpAll()
+	s.loop.postAndWait(func() {
+		old.ended, old.openAttempts = true, 1
+		s.loop.callsByID["id"], s.loop.calls[9] = old, old
+		s.loop.accept(request())
+		s.loop.abortAll()
 	})
 	if len(statuses) != 1 || <-statuses != statusFailed {
 		t.Error("it was not answered, or not as one that may have run")
@@ -389,21 +389,21 @@
 		eventually(t, "the first attempt", func() bool { return len(came) == 1 })
 		// What ends the attempt is held back until the second request has come.
 		var old *call
-		s.loop.ask(func() { old = s.loop.ids["id"]; old.open++ })
+		s.loop.postAndWait(func() { old = s.loop.callsByID["id"]; old.openAttempts++ })
 		first.Close()
-		eventually(t, "the client's leaving", func() (ended bool) { s.loop.ask(func() { ended = old.ended }); return ended })
+		eventually(t, "the client's leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = old.ended }); return ended })
 		second.send(c.method, c.class, "")
 		eventually(t, "the second request", func() (waits bool) {
-			s.loop.ask(func() { waits = old.again != nil })
+			s.loop.postAndWait(func() { waits = old.retry != nil })
 			return waits
 		})
-		s.loop.post(func() { old.open--; s.loop.release(old) })
+		s.loop.post(func() { old.openAttempts--; s.loop.release(old) })
 		if res, _ := second.answer(t); res.StatusCode != c.want || len(came) != c.sends {
 			t.Errorf("%s: status %d after %d sends, want %d after %d", c.class, res.StatusCode, len(came), c.want, c.sends)
 		}
 		close(hold)
 		for left := 1; left > 0; {
-			s.loop.ask(func() { left = len(s.loop.calls) + len(s.loop.ids) + len(s.loop.agenda) })
+			s.loop.postAndWait(func() { left = len(s.loop.calls) + len(s.loop.callsByID) + len(s.loop.timerQueue) })
 		}
 	}
 }
@@ -417,13 +417,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
+	s.cachedListDelay = 0
 	if change != nil {
 		change(s)
 	}
 	go s.loop.run()
-	t.Cleanup(func() { close(s.loop.ended) })
-	s.loop.post(func() { s.loop.list(cfg.InitialList, forkline.ListCached) })
+	t.Cleanup(func() { close(s.loop.done) })
+	s.loop.post(func() { s.loop.updateList(cfg.InitialList, forkline.ListCached) })
 	go s.front.serve(s.listener)
 	return s
 }
@@ -440,23 +440,23 @@
 	eventually(t, "the first half", func() bool {
 		s.front.downstream.mu.Lock()
 		defer s.front.downstream.mu.Unlock()
-		e := s.front.downstream.coming.Back()
+		e := s.front.downstream.receiving.Back()
 		return e != nil && e.Value.(*downstreamConn).RemoteAddr().String() == c.LocalAddr().String()
 	})
 }
 
 // A connection that waits for room when the drain begins holds nothing up: the drain ends in its time.
 func TestDrainDoesNotWaitForRoom(t *testing.T) {
-	accepted := make(chan struct{}, 2*spareDownstream+1)
+	accepted := make(chan struct{}, 2*evictionHeadroom+1)
 	s := undrained(t, echo, func(s *Sidecar) {
-		s.front.downstream.most, s.front.downstream.slow, s.front.quiet = 2*spareDownstream, time.Hour, time.Hour
+		s.front.downstream.maxConns, s.front.downstream.slowRequestTime, s.front.requestTimeout = 2*evictionHeadroom, time.Hour, time.Hour
 		hooked(func(c *net.TCPConn) net.Conn { accepted <- struct{}{}; return c })(s)
 	})
-	for range 2 * spareDownstream {
+	for range 2 * evictionHeadroom {
 		comesTo(t, s, dial(t, s))
 	}
 	dial(t, s)
-	for range 2*spareDownstream + 1 {
+	for range 2*evictionHeadroom + 1 {
 		<-accepted
 	}
 	drained := make(chan struct{})
@@ -511,8 +511,8 @@
 		"drain": func(cs *downstream) {
 			cs.mu.Lock()
 			defer cs.mu.Unlock()
-			for e := cs.quiet.Front(); e != nil; e = cs.quiet.Front() {
-				cs.ask(e.Value.(*downstreamConn))
+			for e := cs.idle.Front(); e != nil; e = cs.idle.Front() {
+				cs.requestClose(e.Value.(*downstreamConn))
 			}
 		},
 		"limit": func(cs *downstream) {
@@ -528,7 +528,7 @@
 			}
 			at, on := make(chan struct{}, 1), make(chan struct{})
 			s := undrained(t, echo, func(s *Sidecar) {
-				s.front.quiet = quiet
+				s.front.requestTimeout = quiet
 				hooked(func(c *net.TCPConn) net.Conn { return lateReader{c, late, at, on} })(s)
 			})
 			c := dial(t, s)
@@ -537,8 +537,8 @@
 			eventually(t, "the request", func() bool {
 				s.front.downstream.mu.Lock()
 				defer s.front.downstream.mu.Unlock()
-				e := s.front.downstream.quiet.Front()
-				return e != nil && (late || e.Value.(*downstreamConn).unread())
+				e := s.front.downstream.idle.Front()
+				return e != nil && (late || e.Value.(*downstreamConn).hasUnread())
 			})
 			end(s.front.downstream)
 			close(on)
@@ -551,12 +551,12 @@
 
 // Near the limit a request that has begun to come is not evicted for a new client, which waits until there is room.
 func TestComingRequestsDoNotGiveWay(t *testing.T) {
-	accepted := make(chan struct{}, 2*spareDownstream+1)
+	accepted := make(chan struct{}, 2*evictionHeadroom+1)
 	s, _ := serving(t, func(s *Sidecar) {
-		s.front.downstream.most, s.front.downstream.slow, s.front.quiet = 2*spareDownstream, time.Hour, time.Hour
+		s.front.downstream.maxConns, s.front.downstream.slowRequestTime, s.front.requestTimeout = 2*evictionHeadroom, time.Hour, time.Hour
 		hooked(func(c *net.TCPConn) net.Conn { accepted <- struct{}{}; return c })(s)
 	})
-	clients := make([]*client, 2*spareDownstream)
+	clients := make([]*client, 2*evictionHeadroom)
 	for i := range clients {
 		clients[i] = dial(t, s)
 		comesTo(t, s, clients[i])
@@ -564,7 +564,7 @@
 	last := dial(t, s)
 	last.id = "last"
 	last.send("GET", "read", "")
-	for range 2*spareDownstream + 1 {
+	for range 2*evictionHeadroom + 1 {
 		<-accepted
 	}
 	for i, c := range clients {
@@ -598,7 +598,7 @@
 // bytes unread, must not overtake the answer.
 func TestTheLastAnswerIsNotOvertaken(t *testing.T) {
 	closing := make(chan struct{}, 1)
-	body := strings.Repeat("x", maxBody)
+	body := strings.Repeat("x", maxBodyBytes)
 	s, err := New(config(t, script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		return true
@@ -606,9 +606,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
+	s.cachedListDelay = 0
 	hooked(func(c *net.TCPConn) net.Conn {
-		c.SetWriteBuffer(4 * maxBody)
+		c.SetWriteBuffer(4 * maxBodyBytes)
 		return closer{c, closing}
 	})(s)
 	go s.Run(t.Context())
@@ -663,7 +663,7 @@
 func TestRequestsAfterTheLastAreRefused(t *testing.T) {
 	s, came := serving(t, nil)
 	c := dial(t, s)
-	s.loop.ask(s.loop.giveUpAll)
+	s.loop.postAndWait(s.loop.abortAll)
 	c.send("POST", "pay", "1")
 	if res, _ := c.answer(t); res.StatusCode != statusRefused || res.Header.Get("Retry-After") == "" || len(came) > 0 {
 		t.Errorf("status %d, %d sent on, Retry-After %q", res.StatusCode, len(came), res.Header.Get("Retry-After"))
@@ -687,8 +687,10 @@
 
 // A request that is sent too slowly keeps nobody out.
 func TestSlowRequestsGiveWay(t *testing.T) {
-	s, _ := serving(t, func(s *Sidecar) { s.front.downstream.most, s.front.downstream.slow = 2*spareDownstream, 0 })
-	for range 2 * spareDownstream {
+	s, _ := serving(t, func(s *Sidecar) {
+		s.front.downstream.maxConns, s.front.downstream.slowRequestTime = 2*evictionHeadroom, 0
+	})
+	for range 2 * evictionHeadroom {
 		comesTo(t, s, dial(t, s))
 	}
 	c := dial(t, s)
@@ -713,7 +715,7 @@
 		return true
 	})
 	u := pool(ln.Addr().String(), 4)
-	u.rest = time.Hour
+	u.reuseDelay = time.Hour
 	serves := func(want string) {
 		t.Helper()
 		if got, a := attemptOn(u, long); got != forkline.OK || string(a.body) != want {
@@ -726,12 +728,12 @@
 	<-sent
 	idle := u.find(1).idle
 	eventually(t, "the second answer", func() bool { return !stillOpen(idle[0].Conn) })
-	u.rest = 0
+	u.reuseDelay = 0
 	serves("1")
 	slices.Reverse(idle)
 	serves("1")
-	if u.open != 1 {
-		t.Errorf("%d connections are kept, want the sound one", u.open)
+	if u.openConns != 1 {
+		t.Errorf("%d connections are kept, want the sound one", u.openConns)
 	}
 }
 
@@ -765,9 +767,9 @@
 	if got, _ := attemptOn(u, long); got != forkline.OK {
 		t.Fatalf("outcome %v", got)
 	}
-	u.hold = long
+	u.breakCheckTime = long
 	out := get()
-	out.once = true
+	out.atMostOnce = true
 	got, a := u.do(newAttempt(time.Time{}), u.find(1), out, time.Now().Add(long))
 	if got != forkline.OK || string(a.body) != "1" {
 		t.Errorf("outcome %v, answer %v, want that of the second connection", got, a)
@@ -777,13 +779,13 @@
 // Lists may come indented, several on a line, and with braces in their strings.
 func TestListsInAnyForm(t *testing.T) {
 	told := make(chan List, 10)
-	d := &discovery{policy: unhurried(long), tell: func(l List) { told <- l }, failed: func() {}}
+	d := &discovery{policy: unhurried(long), onList: func(l List) { told <- l }, onFailed: func() {}}
 	d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n\n{\n  \"rev\": 1,\n\n  \"all\": true,\n  \"targets\": [\n    {\n      "+
 			"\"uid\": \"}\\\"{\",\r\n\t\"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n\n {\"rev\":2} {\"rev\":3}\n")
 		return false
 	}).Addr().String()
-	d.once(t.Context())
+	d.poll(t.Context())
 	close(told)
 	rev := int64(0)
 	for l := range told {
@@ -811,7 +813,7 @@
 		},
 	} {
 		done := make(chan struct{})
-		d := &discovery{policy: unhurried(30 * time.Millisecond), tell: func(List) {}, failed: func() {}}
+		d := &discovery{policy: unhurried(30 * time.Millisecond), onList: func(List) {}, onFailed: func() {}}
 		d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			f(c)
@@ -819,7 +821,7 @@
 			return false
 		}).Addr().String()
 		ended := make(chan struct{})
-		go func() { d.once(t.Context()); close(ended) }()
+		go func() { d.poll(t.Context()); close(ended) }()
 		select {
 		case <-ended:
 		case <-time.After(long):
@@ -865,7 +867,7 @@
 			t.Fatal(err)
 		}
 		if s.discovery.policy = unhurried(long); !silent {
-			s.patience = time.Hour
+			s.cachedListDelay = time.Hour
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go s.Run(ctx)
@@ -877,7 +879,7 @@
 		}
 		if !silent {
 			eventually(t, "requests that wait", func() (all bool) {
-				s.loop.ask(func() { all = len(s.loop.calls) == len(callers) })
+				s.loop.postAndWait(func() { all = len(s.loop.calls) == len(callers) })
 				return all
 			})
 			close(tell)
@@ -902,7 +904,7 @@
 // that the module asks again.
 func TestAFailingMoveKeepsTheOldWatch(t *testing.T) {
 	next, told, failed := make(chan int64), make(chan int64, 10), make(chan struct{}, 10)
-	d := &discovery{policy: unhurried(long), rev: 1, tell: func(l List) { told <- l.Rev }, failed: func() { failed <- struct{}{} }}
+	d := &discovery{policy: unhurried(long), rev: 1, onList: func(l List) { told <- l.Rev }, onFailed: func() { failed <- struct{}{} }}
 	d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		for rev := range next {
@@ -910,7 +912,7 @@
 		}
 		return false
 	}).Addr().String()
-	go d.once(t.Context())
+	go d.poll(t.Context())
 	next <- 2
 	if rev := <-told; rev != 2 {
 		t.Fatalf("version %d", rev)
@@ -918,7 +920,7 @@
 	refusing := listen(t)
 	refusing.Close()
 	d.move(refusing.Addr().String())
-	d.once(t.Context())
+	d.poll(t.Context())
 	<-failed
 	next <- 3
 	if rev := <-told; rev != 3 {
--- a/internal/sidecar/readiness_test.go
+++ b/internal/sidecar/readiness_test.go
@@ -63,7 +63,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				s.front.accept = 0
+				s.front.drainAcceptTime = 0
 				t.Cleanup(func() { s.discovery.move(nowhere()) })
 				go s.Run(t.Context())
 				if asked && !isReady(s) {
@@ -102,7 +102,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.front.accept = 0
+			s.front.drainAcceptTime = 0
 			t.Cleanup(func() { s.discovery.move(nowhere()) })
 			go s.Run(t.Context())
 			if isReady(s) {
@@ -125,8 +125,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s.front.accept = 0
-			for range 4 * s.downstream {
+			s.front.drainAcceptTime = 0
+			for range 4 * s.maxDownstream {
 				io.WriteString(dial(t, s), first)
 			}
 			c := dial(t, s)
@@ -142,7 +142,7 @@
 
 // Nine in ten restarted processes have to be ready within 10 s. All that is waited for on purpose is the agent.
 func TestTheWaitForTheAgentLeavesTimeToBeReady(t *testing.T) {
-	if agentFirst > time.Second {
-		t.Errorf("a process with an old list waits for %v", agentFirst)
+	if defaultCachedListDelay > time.Second {
+		t.Errorf("a process with an old list waits for %v", defaultCachedListDelay)
 	}
 }
--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -13,18 +13,18 @@
 	"forkline/internal/wire"
 )
 
-var errEnded = errors.New("the sidecar has ended")
+var errSidecarEnded = errors.New("the sidecar has ended")
 
 // Reload applies a new configuration atomically, as far as a running process can change it; on an error nothing
 // changes. Keys that need a restart are named in the log. The current list and accepted requests are kept.
 func (s *Sidecar) Reload(cfg Config) error {
-	s.reloading.Lock()
-	defer s.reloading.Unlock()
+	s.reloadMu.Lock()
+	defer s.reloadMu.Unlock()
 	if cfg.ReloadRequestedAt.IsZero() {
 		cfg.ReloadRequestedAt = time.Now()
 	}
 	if !reflect.DeepEqual(cfg.Site, s.cfg.Site) {
-		if err := s.change(&cfg.Site); err != nil {
+		if err := s.applySettings(&cfg.Site); err != nil {
 			return err
 		}
 		s.mu.Lock()
@@ -32,113 +32,113 @@
 		s.mu.Unlock()
 		slog.Info("settings in force", "hash", fmt.Sprintf("%016x", cfg.SettingsHash), "after", time.Since(cfg.ReloadRequestedAt).Round(10*time.Microsecond))
 	}
-	if kept := s.kept(&cfg); len(kept) > 0 {
-		slog.Warn("kept until the next start", "keys", strings.Join(kept, " "))
+	if restartOnly := s.restartOnlyChanges(&cfg); len(restartOnly) > 0 {
+		slog.Warn("kept until the next start", "keys", strings.Join(restartOnly, " "))
 	}
 	s.SetDiscoveryAddr(cfg.Discovery)
 	return nil
 }
 
 // kept names what cannot change in a running process.
-func (s *Sidecar) kept(cfg *Config) []string {
+func (s *Sidecar) restartOnlyChanges(cfg *Config) []string {
 	var keys []string
-	for _, k := range [...]struct {
+	for _, setting := range [...]struct {
 		key     string
 		was, is any
 	}{
 		{"name", s.cfg.Name, cfg.Name}, {"listen", s.cfg.Listen, cfg.Listen}, {"seed", s.cfg.Seed, cfg.Seed},
 		{"limits.sockets", s.cfg.Sockets, cfg.Sockets},
 	} {
-		if k.was != k.is {
-			keys = append(keys, k.key)
+		if setting.was != setting.is {
+			keys = append(keys, setting.key)
 		}
 	}
 	return keys
 }
 
 // change has the loop put settings in force, between two events, and waits until it has.
-func (s *Sidecar) change(site *wire.Site) error {
-	result, t := make(chan error, 1), newTables(&site.Settings)
+func (s *Sidecar) applySettings(site *wire.Site) error {
+	result, index := make(chan error, 1), newSettingsIndex(&site.Settings)
 	s.loop.post(func() {
-		err := s.loop.change(site, t)
+		err := s.loop.reconfigure(site, index)
 		if err == nil {
-			s.front.tables.Store(t)
+			s.front.index.Store(index)
 		}
 		result <- err
 	})
 	select {
 	case err := <-result:
 		return err
-	case <-s.loop.ended:
-		return errEnded
+	case <-s.loop.done:
+		return errSidecarEnded
 	}
 }
 
 // change puts settings in force in the module and the loop.
-func (l *loop) change(site *wire.Site, t *tables) (err error) {
-	set := l.settings(site.Settings)
+func (l *loop) reconfigure(site *wire.Site, index *settingsIndex) (err error) {
+	settings := l.moduleSettings(site.Settings)
 	l.actions = l.actions[:0]
-	renamed := !slices.Equal(l.directory.zones, site.Zones) || !slices.Equal(l.directory.kinds, site.Kinds)
-	if renamed { // what may have run in a zone by its old number must not be repeated by the new one
-		if l.actions, err = l.balancer.Reconfigure(l.now(), unrepeated(set), l.actions); err != nil {
+	renumbered := !slices.Equal(l.directory.zones, site.Zones) || !slices.Equal(l.directory.kinds, site.Kinds)
+	if renumbered { // what may have run in a zone by its old number must not be repeated by the new one
+		if l.actions, err = l.balancer.Reconfigure(l.now(), withoutZoneRepeats(settings), l.actions); err != nil {
 			return err
 		}
 	}
-	if l.actions, err = l.balancer.Reconfigure(l.now(), set, l.actions); err != nil {
+	if l.actions, err = l.balancer.Reconfigure(l.now(), settings, l.actions); err != nil {
 		return err
 	}
-	l.tables, l.comeBack = t, millis(set.Limits.RetryAfter())
-	l.remember = max(l.remember, rememberTime(&site.Settings)) // clients may wait by the settings of before
-	l.up.configure(site.Settings.Limits, set.Safety.DrainGrace)
+	l.reloadedIndex, l.retryAfter = index, msToDuration(settings.Limits.RetryAfter())
+	l.idRetention = max(l.idRetention, idRetentionFor(&site.Settings)) // clients may wait by the settings of before
+	l.upstream.configure(site.Settings.Limits, settings.Safety.DrainGrace)
 	for _, c := range l.calls {
-		c.restrict(t)
-		if c.again != nil {
-			c.again.restrict(t)
+		c.keepStricterEffect(index)
+		if c.retry != nil {
+			c.retry.keepStricterEffect(index)
 		}
 	}
-	l.carryOutAll()
-	if l.directory.zones, l.directory.kinds = site.Zones, site.Kinds; renamed {
+	l.applyActions()
+	if l.directory.zones, l.directory.kinds = site.Zones, site.Kinds; renumbered {
 		list := List{}
-		for id := range l.listed {
-			list.Targets = append(list.Targets, l.directory.told[id])
+		for id := range l.serverReady {
+			list.Targets = append(list.Targets, l.directory.targets[id])
 		}
 		slices.SortFunc(list.Targets, func(a, b Target) int { return strings.Compare(a.UID, b.UID) })
-		if l.known == nil {
-			l.list(list, forkline.ListDelta)
+		if l.cachedList == nil {
+			l.updateList(list, forkline.ListDelta)
 		}
 	}
 	return nil
 }
 
 // unrepeated are settings in which nothing is repeated within a zone.
-func unrepeated(set forkline.Settings) forkline.Settings {
-	set.Classes = slices.Clone(set.Classes)
-	for i := range set.Classes {
-		if c := &set.Classes[i]; c.Effect == forkline.Keyed && c.Scope == forkline.ScopeZone {
+func withoutZoneRepeats(settings forkline.Settings) forkline.Settings {
+	settings.Classes = slices.Clone(settings.Classes)
+	for i := range settings.Classes {
+		if c := &settings.Classes[i]; c.Effect == forkline.Keyed && c.Scope == forkline.ScopeZone {
 			c.Effect = forkline.Unsafe
 		}
 	}
-	return set
+	return settings
 }
 
 // restrict has an open call keep the stricter of its class's old and new rule.
-func (c *call) restrict(t *tables) {
-	if index, ok := t.classes[c.class]; ok {
-		effect := t.set.Classes[index].Effect
-		c.safe, c.out.once = c.safe && effect == forkline.Safe, c.out.once || effect == forkline.Unsafe
+func (c *call) keepStricterEffect(index *settingsIndex) {
+	if class, ok := index.classes[c.class]; ok {
+		effect := index.settings.Classes[class].Effect
+		c.safe, c.outgoing.atMostOnce = c.safe && effect == forkline.Safe, c.outgoing.atMostOnce || effect == forkline.Unsafe
 	}
 }
 
 // place gives a call that was read by older tables what those in force say, and tells whether it can be taken.
-func (l *loop) place(c *call) bool {
-	class, status, complaint := l.tables.class(c.class, c.method, c.keyed)
+func (l *loop) reapplySettings(c *call) bool {
+	class, status, reason := l.reloadedIndex.resolveClass(c.class, c.method, c.hasKey)
 	if class == nil {
-		l.finish(c, answer{status: status, body: []byte(complaint + "\n")})
+		l.finish(c, response{status: status, body: []byte(reason + "\n")})
 		return false
 	}
-	wait := c.wait
-	if l.tables.place(c, &l.margin); c.backstop == nil {
-		c.event.Deadline += c.wait - wait
+	previous := c.answerWithin
+	if l.reloadedIndex.apply(c, &l.margin); c.backstop == nil {
+		c.event.Deadline += c.answerWithin - previous
 	}
 	return true
 }
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -108,8 +108,8 @@
 	if status := held.status(t); status != 200 {
 		t.Errorf("status %d of the request that was out", status)
 	}
-	s.loop.ask(func() {
-		if len(s.loop.calls) != 0 || len(s.loop.ids) != 0 {
+	s.loop.postAndWait(func() {
+		if len(s.loop.calls) != 0 || len(s.loop.callsByID) != 0 {
 			t.Errorf("%d calls are kept", len(s.loop.calls))
 		}
 	})
@@ -124,9 +124,9 @@
 		set.Classes[0].TargetLatency, set.Classes[0].Timeout = 100, 200
 		set.Limits.ConnectTimeout, set.Safety.DrainGrace, set.Limits.SendRetryAfter = 77, 1000, false
 	})
-	s.loop.ask(func() { // the figures of connections and of the loop's own refusals are put in force with it
-		if u := s.loop.up; u.dialTimeout != 77*time.Millisecond || u.grace != 600*time.Millisecond || s.loop.comeBack != 0 {
-			t.Errorf("dials for %v, begins within %v, clients come back after %v", u.dialTimeout, u.grace, s.loop.comeBack)
+	s.loop.postAndWait(func() { // the figures of connections and of the loop's own refusals are put in force with it
+		if u := s.loop.upstream; u.dialTimeout != 77*time.Millisecond || u.firstByteTimeout != 600*time.Millisecond || s.loop.retryAfter != 0 {
+			t.Errorf("dials for %v, begins within %v, clients come back after %v", u.dialTimeout, u.firstByteTimeout, s.loop.retryAfter)
 		}
 	})
 	if status := ask(t, s, "held", "GET", "read").status(t); status != statusRefused && status != statusFailed {
@@ -174,13 +174,13 @@
 			out := ask(t, s, "held", c.method, c.class)
 			g.await(t, "held")
 			reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[c.index].Effect = c.effect })
-			s.loop.ask(func() {
-				if k := s.loop.ids["held"]; k.safe || !k.out.once {
-					t.Errorf("safe %v, must run once %v", k.safe, k.out.once)
+			s.loop.postAndWait(func() {
+				if k := s.loop.callsByID["held"]; k.safe || !k.outgoing.atMostOnce {
+					t.Errorf("safe %v, must run once %v", k.safe, k.outgoing.atMostOnce)
 				}
 			})
 			more := List{Targets: []Target{{UID: "more", Endpoint: other.addr, Zone: "z", State: "Ready"}}}
-			s.loop.ask(func() { s.loop.list(more, forkline.ListDelta) })
+			s.loop.postAndWait(func() { s.loop.updateList(more, forkline.ListDelta) })
 			g.let <- false
 			if status := out.status(t); status != statusFailed || len(g.came)+len(other.came) > 0 {
 				t.Errorf("status %d, %d further sends", status, len(g.came)+len(other.came))
@@ -197,13 +197,13 @@
 	var old *call
 	first := ask(t, s, "held", "POST", "pay")
 	g.await(t, "held")
-	s.loop.ask(func() { old = s.loop.ids["held"]; old.open++ }) // what ends its attempt is held back
+	s.loop.postAndWait(func() { old = s.loop.callsByID["held"]; old.openAttempts++ }) // what ends its attempt is held back
 	first.Close()
-	eventually(t, "the leaving", func() (ended bool) { s.loop.ask(func() { ended = old.ended }); return ended })
+	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = old.ended }); return ended })
 	reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[1].Effect = forkline.Safe })
 	second := ask(t, s, "held", "GET", "pay")
-	eventually(t, "the second copy", func() (waits bool) { s.loop.ask(func() { waits = old.again != nil }); return waits })
-	s.loop.post(func() { old.open--; s.loop.release(old) })
+	eventually(t, "the second copy", func() (waits bool) { s.loop.postAndWait(func() { waits = old.retry != nil }); return waits })
+	s.loop.post(func() { old.openAttempts--; s.loop.release(old) })
 	if status := second.status(t); status != statusFailed || len(g.came) > 0 {
 		t.Errorf("status %d, %d further sends", status, len(g.came))
 	}
@@ -216,27 +216,27 @@
 	s := start(t, cfg)
 	parse := func(method, class string) *call {
 		c, _, complaint := s.front.parse(message{
-			first:  method + " /" + class + "/x HTTP/1.1",
-			header: http.Header{"X-Class": {class}, "X-Request-Id": {"r"}, "X-Tenant": {"b"}},
+			startLine: method + " /" + class + "/x HTTP/1.1",
+			header:    http.Header{"X-Class": {class}, "X-Request-Id": {"r"}, "X-Tenant": {"b"}},
 		})
 		if c == nil {
 			t.Fatal(complaint)
 		}
-		c.due(s.loop.now())
+		c.setDeadline(s.loop.now())
 		return c
 	}
 	moved, gone, other, keyless := parse("GET", "read"), parse("POST", "pay"), parse("POST", "pay"), parse("POST", "pay")
-	arrived := moved.event.Deadline - moved.wait
+	arrived := moved.event.Deadline - moved.answerWithin
 	cfg = reload(t, s, cfg, func(set *forkline.Settings) {
 		set.Classes = []forkline.Class{set.Classes[2], set.Classes[0]} // pay is gone
 		set.Classes[1].Timeout = 1500
 		set.Tenants = []forkline.Tenant{{Name: "a"}, {Name: "b"}}
 	})
-	take := func(c *call) (got answer) {
-		s.loop.ask(func() {
-			c.reply = func(a answer) { got = a }
-			s.loop.take(c)
-			s.loop.gone(c)
+	take := func(c *call) (got response) {
+		s.loop.postAndWait(func() {
+			c.respond = func(a response) { got = a }
+			s.loop.accept(c)
+			s.loop.handleDisconnect(c)
 		})
 		return got
 	}
@@ -282,7 +282,7 @@
 	if status := ask(t, s, "b", "GET", "read").status(t); status != 200 {
 		t.Errorf("status %d of a class of before", status)
 	}
-	if s.discovery.addr != cfg.Discovery || s.loop.tables != nil {
+	if s.discovery.addr != cfg.Discovery || s.loop.reloadedIndex != nil {
 		t.Errorf("discovery is at %s", s.discovery.addr)
 	}
 }
@@ -307,7 +307,7 @@
 	if s.discovery.addr != same.Discovery {
 		t.Errorf("discovery is at %s", s.discovery.addr)
 	}
-	if kept := s.kept(&same); !slices.Equal(kept, []string{"name", "limits.sockets"}) {
+	if kept := s.restartOnlyChanges(&same); !slices.Equal(kept, []string{"name", "limits.sockets"}) {
 		t.Errorf("kept: %q", kept)
 	}
 	z.free()
@@ -325,9 +325,9 @@
 	})
 	s := start(t, cfg)
 	z := seize(s)
-	for len(s.loop.mail) < cap(s.loop.mail) {
+	for len(s.loop.queue) < cap(s.loop.queue) {
 		select {
-		case s.loop.mail <- func() {}:
+		case s.loop.queue <- func() {}:
 		default: // discovery was ahead
 		}
 	}
@@ -344,12 +344,12 @@
 	z.free()
 	all.Wait()
 	last := reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[0].Timeout = 7777 })
-	s.loop.ask(func() {
-		if got := s.loop.tables.set.Classes[0].Timeout; got != 7777 {
+	s.loop.postAndWait(func() {
+		if got := s.loop.reloadedIndex.settings.Classes[0].Timeout; got != 7777 {
 			t.Errorf("deadline %v in force", got)
 		}
 	})
-	if got := s.front.tables.Load().set.Classes[0].Timeout; got != 7777 || s.discovery.addr != last.Discovery {
+	if got := s.front.index.Load().settings.Classes[0].Timeout; got != 7777 || s.discovery.addr != last.Discovery {
 		t.Errorf("deadline %v at the front, discovery at %s", got, s.discovery.addr)
 	}
 }
@@ -363,18 +363,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
-	s.front.accept = 2 * time.Second // for a test on a busy machine
+	s.cachedListDelay = 0
+	s.front.drainAcceptTime = 2 * time.Second // for a test on a busy machine
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- s.Run(ctx) }()
-	longest := s.last()
+	longest := s.drainLimit()
 	reload(t, s, cfg, func(set *forkline.Settings) {
 		for i := range set.Classes {
 			set.Classes[i].TargetLatency, set.Classes[i].Timeout = 2000, 2000
 		}
 	})
-	if got := s.last(); got != longest-time.Second { // 3 s, the most that is waited for, before
+	if got := s.drainLimit(); got != longest-time.Second { // 3 s, the most that is waited for, before
 		t.Errorf("what is left is given up %v after SIGTERM, before %v", got, longest)
 	}
 	reload(t, s, cfg, func(*forkline.Settings) {}) // the drain lasts for as long as it may
@@ -394,7 +394,7 @@
 		t.Error(err)
 	}
 	late := edited(cfg, func(set *forkline.Settings) { set.Copies = 5 })
-	if err := s.Reload(late); !errors.Is(err, errEnded) {
+	if err := s.Reload(late); !errors.Is(err, errSidecarEnded) {
 		t.Errorf("error %v after the end", err)
 	}
 }
@@ -437,13 +437,13 @@
 	s := start(t, cfg)
 	out := ask(t, s, "held", "POST", "add", "Idempotency-Key: k")
 	g.await(t, "held")
-	s.loop.ask(func() { s.loop.list(List{Full: true}, forkline.ListFull) }) // its server is gone and not told anew
+	s.loop.postAndWait(func() { s.loop.updateList(List{Full: true}, forkline.ListFull) }) // its server is gone and not told anew
 	cfg.Site.Zones = []string{"y", "z"}
 	if err := s.Reload(cfg); err != nil {
 		t.Fatal(err)
 	}
 	var entry forkline.ServerEntry
-	s.loop.ask(func() {
+	s.loop.postAndWait(func() {
 		entry = s.loop.directory.entry(&Target{UID: "s-2", Zone: "z"})
 	})
 	if entry.Zone != 1 {
@@ -451,14 +451,14 @@
 	}
 	// Another one is in the zone of its old number.
 	list := List{Full: true, Targets: []Target{{UID: "s-1", Endpoint: other.addr, Zone: "y", State: "Ready"}}}
-	s.loop.ask(func() { s.loop.list(list, forkline.ListFull) })
+	s.loop.postAndWait(func() { s.loop.updateList(list, forkline.ListFull) })
 	g.let <- false
 	if status := out.status(t); status != statusFailed || len(other.came) > 0 {
 		t.Errorf("status %d, %d sends to a server that does not know the key", status, len(other.came))
 	}
-	s.loop.ask(func() {
-		if d := s.loop.directory; len(d.told) != 1 || len(d.ids) != 1 {
-			t.Errorf("%d targets and %d ids are kept of one that is listed", len(d.told), len(d.ids))
+	s.loop.postAndWait(func() {
+		if d := s.loop.directory; len(d.targets) != 1 || len(d.ids) != 1 {
+			t.Errorf("%d targets and %d ids are kept of one that is listed", len(d.targets), len(d.ids))
 		}
 	})
 }
@@ -471,22 +471,22 @@
 	})
 	u := pool(ln.Addr().String(), 4)
 	u.configure(forkline.Limits{IdleTimeout: 3.6e6}, 0)
-	if u.trust != u.idleLimit || u.idleLimit != 48*time.Minute {
-		t.Errorf("idle for %v, trusted for %v", u.idleLimit, u.trust)
+	if u.trustedIdle != u.idleTimeout || u.idleTimeout != 48*time.Minute {
+		t.Errorf("idle for %v, trusted for %v", u.idleTimeout, u.trustedIdle)
 	}
 	attemptOn(u, long)
 	u.configure(forkline.Limits{IdleTimeout: 10, ConnectTimeout: 77}, 1000)
-	if u.trust != 8*time.Millisecond || u.dialTimeout != 77*time.Millisecond || u.grace != 600*time.Millisecond {
-		t.Errorf("trusted for %v, dials %v, begins within %v", u.trust, u.dialTimeout, u.grace)
+	if u.trustedIdle != 8*time.Millisecond || u.dialTimeout != 77*time.Millisecond || u.firstByteTimeout != 600*time.Millisecond {
+		t.Errorf("trusted for %v, dials %v, begins within %v", u.trustedIdle, u.dialTimeout, u.firstByteTimeout)
 	}
 	eventually(t, "the end of the idle connection", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return u.open == 0 && u.sweeper == nil
+		return u.openConns == 0 && u.sweeper == nil
 	})
-	u.trust = time.Millisecond
+	u.trustedIdle = time.Millisecond
 	u.configure(forkline.Limits{}, 0)
-	if u.trust != time.Millisecond || u.idleLimit != defaultIdle || u.dialTimeout != defaultDial || u.grace != 0 {
-		t.Errorf("trusted for %v, idle for %v, dials %v", u.trust, u.idleLimit, u.dialTimeout)
+	if u.trustedIdle != time.Millisecond || u.idleTimeout != defaultIdleTimeout || u.dialTimeout != defaultDialTimeout || u.firstByteTimeout != 0 {
+		t.Errorf("trusted for %v, idle for %v, dials %v", u.trustedIdle, u.idleTimeout, u.dialTimeout)
 	}
 }
--- a/internal/sidecar/remembered_test.go
+++ b/internal/sidecar/remembered_test.go
@@ -45,10 +45,10 @@
 			first.answer(t)
 			first.Close()
 			for left := 1; left > 0; { // the first copy is over, and its attempt closed
-				s.loop.ask(func() { left = len(s.loop.calls) + len(s.loop.ids) })
+				s.loop.postAndWait(func() { left = len(s.loop.calls) + len(s.loop.callsByID) })
 			}
 			if name == "unsafe, while all ends" {
-				s.loop.ask(s.loop.giveUpAll)
+				s.loop.postAndWait(s.loop.abortAll)
 			}
 			second.send(c.method, c.class, "", "Idempotency-Key: k")
 			if res, _ := second.answer(t); res.StatusCode != c.want || len(came) != c.sends {
@@ -62,11 +62,11 @@
 func TestARequestThatComesAgainAtTheEndHasFailed(t *testing.T) {
 	s := undrained(t, echo, nil)
 	statuses := make(chan int, 2)
-	s.loop.ask(func() {
-		old := &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, ended: true, open: 1}
-		s.loop.ids["id"], s.loop.calls[9] = old, old
-		s.loop.giveUpAll()
-		s.loop.take(&call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, reply: func(a answer) { statuses <- a.status }})
+	s.loop.postAndWait(func() {
+		old := &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, ended: true, openAttempts: 1}
+		s.loop.callsByID["id"], s.loop.calls[9] = old, old
+		s.loop.abortAll()
+		s.loop.accept(&call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, respond: func(a response) { statuses <- a.status }})
 	})
 	if len(statuses) != 1 || <-statuses != statusFailed {
 		t.Error("it was not answered, or not as one that may have run")
@@ -76,19 +76,19 @@
 // What is remembered is bounded in time and in number, and while there is no room for more nothing is taken that would
 // have to be remembered.
 func TestWhatIsRememberedIsBounded(t *testing.T) {
-	r := newRemembered()
-	for i := range 3 * mostRemembered {
+	r := newRecentIDs()
+	for i := range 3 * maxRecentIDs {
 		r.add(fmt.Sprint(i), float64(i+100))
 		r.expire(float64(i))
 	}
-	if len(r.ids) > 101 || len(r.order) > 400 {
-		t.Errorf("%d ids in %d places are kept of 100", len(r.ids), len(r.order))
+	if len(r.ids) > 101 || len(r.entries) > 400 {
+		t.Errorf("%d ids in %d places are kept of 100", len(r.ids), len(r.entries))
 	}
-	last := 3*mostRemembered - 1
-	if r.expire(float64(last + 99)); !r.has(fmt.Sprint(last)) || r.full(0) {
+	last := 3*maxRecentIDs - 1
+	if r.expire(float64(last + 99)); !r.contains(fmt.Sprint(last)) || r.isFull(0) {
 		t.Error("the last id is forgotten too soon, or there is no room")
 	}
-	if r.expire(float64(last + 100)); r.has(fmt.Sprint(last)) || len(r.ids) > 0 {
+	if r.expire(float64(last + 100)); r.contains(fmt.Sprint(last)) || len(r.ids) > 0 {
 		t.Error("the last id is kept too long")
 	}
 }
@@ -97,10 +97,10 @@
 	socketless(t, func(t *testing.T, f *front) {
 		ask := func(class uint16, safe bool) int { // the status that it is answered with at once; 0 = it is taken
 			statuses := make(chan int, 1)
-			f.loop.ask(func() {
-				f.loop.take(&call{
+			f.loop.postAndWait(func() {
+				f.loop.accept(&call{
 					id: "new", event: forkline.Event{Class: class, Deadline: f.loop.now() + 1000}, safe: safe,
-					reply: func(a answer) { statuses <- a.status },
+					respond: func(a response) { statuses <- a.status },
 				})
 			})
 			select {
@@ -110,9 +110,9 @@
 				return 0
 			}
 		}
-		f.loop.ask(func() {
-			for i := range mostRemembered {
-				f.loop.ran.add(fmt.Sprint(i), f.loop.now()+f.loop.remember)
+		f.loop.postAndWait(func() {
+			for i := range maxRecentIDs {
+				f.loop.endedIDs.add(fmt.Sprint(i), f.loop.now()+f.loop.idRetention)
 			}
 		})
 		if status := ask(1, false); status != statusRefused {
@@ -122,7 +122,7 @@
 			t.Errorf("status %d of a safe request without room, want it taken", status)
 		}
 		synctest.Wait()
-		time.Sleep(millis(f.loop.remember) + time.Second)
+		time.Sleep(msToDuration(f.loop.idRetention) + time.Second)
 		if status := ask(1, false); status != 0 {
 			t.Errorf("status %d of an unsafe request with room, want it taken", status)
 		}
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -32,42 +32,42 @@
 
 // reserved descriptors are for the runtime, standard streams and the listener, some 14, for the calls to discovery that
 // wait beside each other while it is silent, 10 at most, and for those on their way.
-func reserved(sockets int) int { return 24 + sockets/32 }
+func reservedSockets(sockets int) int { return 24 + sockets/32 }
 
 const (
-	downstreamPart = 0.6  // of the other descriptors; endpoints get the rest
-	killAfter      = 0.7  // seconds from the longest deadline to SIGKILL
-	killMost       = 3.0  // longest deadline that SIGKILL waits for
-	exitBefore     = 0.35 // seconds before SIGKILL at which what is left is given up
+	downstreamShare = 0.6  // of the other descriptors; endpoints get the rest
+	killDelay       = 0.7  // seconds from the longest deadline to SIGKILL
+	maxKillDeadline = 3.0  // longest deadline that SIGKILL waits for
+	exitLead        = 0.35 // seconds before SIGKILL at which what is left is given up
 )
 
 // Sidecar is one sidecar process: a balancer copy with its listener and connections.
 type Sidecar struct {
-	reloading  sync.Mutex // one Reload at a time; the loop must not wait for it
-	mu         sync.Mutex
-	cfg        Config // guarded by mu; Reload alone changes it
-	loop       *loop
-	front      *front
-	discovery  *discovery
-	listener   net.Listener
-	downstream int           // connections that clients may hold
-	patience   time.Duration // see agentFirst
+	reloadMu        sync.Mutex // one Reload at a time; the loop must not wait for it
+	mu              sync.Mutex
+	cfg             Config // guarded by mu; Reload alone changes it
+	loop            *loop
+	front           *front
+	discovery       *discovery
+	listener        net.Listener
+	maxDownstream   int           // connections that clients may hold
+	cachedListDelay time.Duration // see agentFirst
 }
 
 // New validates the configuration and opens the listener. Connections wait in its backlog until Run.
 func New(cfg Config) (*Sidecar, error) {
-	free := cfg.Sockets - reserved(cfg.Sockets)
-	s := &Sidecar{cfg: cfg, downstream: int(downstreamPart * float64(free))}
-	set := &s.cfg.Site.Settings
+	available := cfg.Sockets - reservedSockets(cfg.Sockets)
+	s := &Sidecar{cfg: cfg, maxDownstream: int(downstreamShare * float64(available))}
+	settings := &s.cfg.Site.Settings
 	var err error
-	if s.loop, err = newLoop(&s.cfg, newUpstream(set.Limits, set.Safety.DrainGrace, free-s.downstream)); err != nil {
+	if s.loop, err = newLoop(&s.cfg, newUpstream(settings.Limits, settings.Safety.DrainGrace, available-s.maxDownstream)); err != nil {
 		return nil, err
 	}
 	s.discovery = newDiscovery(&s.cfg, s.loop)
-	if !set.PollList {
-		s.patience = agentFirst
+	if !settings.PollList {
+		s.cachedListDelay = defaultCachedListDelay
 	}
-	s.front = newFront(s.loop, set, s.downstream)
+	s.front = newFront(s.loop, settings, s.maxDownstream)
 	if s.listener, err = net.Listen("tcp", cfg.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -79,48 +79,48 @@
 	d := &discovery{
 		addr: cfg.Discovery, rev: cfg.InitialList.Rev, policy: listwatch.PushPolicy,
 		random: rand.New(rand.NewPCG(cfg.Seed, 0)).Float64,
-		tell: func(list List) {
+		onList: func(list List) {
 			kind := forkline.ListDelta
 			if list.Full {
 				kind = forkline.ListFull
 			}
-			l.post(func() { l.list(list, kind) })
+			l.post(func() { l.updateList(list, kind) })
 		},
-		failed: func() { l.post(func() { l.listEvent(forkline.ListFailed) }) },
+		onFailed: func() { l.post(func() { l.handleListEvent(forkline.ListFailed) }) },
 	}
 	if cfg.Site.Settings.PollList {
 		d.policy = listwatch.PollPolicy
-		d.answered = func() { l.post(func() { l.listEvent(forkline.ListDelta) }) } // no changes so far
+		d.onAnswered = func() { l.post(func() { l.handleListEvent(forkline.ListDelta) }) } // no changes so far
 	}
 	return d
 }
 
 // Run serves until ctx ends, then finishes the accepted requests.
 func (s *Sidecar) Run(ctx context.Context) error {
-	watching, stop := context.WithCancel(context.Background()) // drains count to the end
+	watchCtx, stop := context.WithCancel(context.Background()) // drains count to the end
 	defer stop()
-	defer close(s.loop.ended)
+	defer close(s.loop.done)
 	if s.cfg.Site.Settings.PollList {
-		s.loop.watch = func() { go s.discovery.once(watching) }
-		s.loop.post(func() { s.loop.list(s.cfg.InitialList, forkline.ListCached) }) // ahead of what the watch tells
+		s.loop.requestWatch = func() { go s.discovery.poll(watchCtx) }
+		s.loop.post(func() { s.loop.updateList(s.cfg.InitialList, forkline.ListCached) }) // ahead of what the watch tells
 	} else {
 		// What the agent has counts as told from the first moment on. So nothing is sent by the list of before until
 		// the agent has changed it, or has said nothing for too long.
-		s.loop.known = &s.cfg.InitialList
-		first := time.AfterFunc(s.patience, func() { s.loop.post(s.loop.useKnown) })
-		defer first.Stop()
-		s.discovery.follow(watching)
+		s.loop.cachedList = &s.cfg.InitialList
+		cachedListTimer := time.AfterFunc(s.cachedListDelay, func() { s.loop.post(s.loop.useCachedList) })
+		defer cachedListTimer.Stop()
+		s.discovery.follow(watchCtx)
 	}
 	go s.loop.run()
-	served := make(chan error, 1)
-	go func() { served <- s.front.serve(s.listener) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.front.serve(s.listener) }()
 	slog.Info("serving", "listen", s.listener.Addr(), "known", len(s.cfg.InitialList.Targets), "rev", s.cfg.InitialList.Rev)
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		return fmt.Errorf("serve: %w", err)
 	case <-ctx.Done():
 	}
-	s.front.drain(s.listener, s.last())
+	s.front.drain(s.listener, s.drainLimit())
 	return nil
 }
 
@@ -129,17 +129,17 @@
 func (s *Sidecar) SetDiscoveryAddr(addr string) {
 	if s.discovery.move(addr) {
 		slog.Info("discovery moves", "addr", addr)
-		s.loop.post(func() { s.loop.listEvent(forkline.ListMoved) })
+		s.loop.post(func() { s.loop.handleListEvent(forkline.ListMoved) })
 	}
 }
 
 // last is the time from SIGTERM at which what is left is given up, so as to be answered before SIGKILL.
-func (s *Sidecar) last() time.Duration {
+func (s *Sidecar) drainLimit() time.Duration {
 	longest := 0.0
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.cfg.Site.Settings.Classes {
 		longest = max(longest, c.Timeout/1000)
 	}
-	return time.Duration((min(longest, killMost) + killAfter - exitBefore) * float64(time.Second))
+	return time.Duration((min(longest, maxKillDeadline) + killDelay - exitLead) * float64(time.Second))
 }
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -61,10 +61,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
+	s.cachedListDelay = 0
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.Run(ctx)
-	t.Cleanup(func() { s.discovery.move(nowhere()); s.front.accept = 0; cancel() })
+	t.Cleanup(func() { s.discovery.move(nowhere()); s.front.drainAcceptTime = 0; cancel() })
 	return s
 }
 
@@ -155,7 +155,7 @@
 		{"deadline", "GET", "read", "", []string{"X-Deadline: soon"}, 400},
 		{"negative deadline", "GET", "read", "", []string{"X-Deadline: -1"}, 400},
 		{"deadline that is no number", "GET", "read", "", []string{"X-Deadline: NaN"}, 400},
-		{"long body", "POST", "pay", strings.Repeat("x", maxBody+1), nil, 413},
+		{"long body", "POST", "pay", strings.Repeat("x", maxBodyBytes+1), nil, 413},
 	} {
 		caller := dial(t, s)
 		caller.send(c.method, c.class, c.body, c.headers...)
@@ -181,14 +181,14 @@
 		want   float64 // ms from the arrival
 	}{{"2.000", 1950}, {"0.100", 90}, {"", 2450}, {"60", 2450}} {
 		got, _, complaint := f.parse(message{
-			first:  "GET /read/x HTTP/1.1",
-			header: http.Header{"X-Class": {"read"}, "X-Request-Id": {"1"}, "X-Deadline": {c.header}},
+			startLine: "GET /read/x HTTP/1.1",
+			header:    http.Header{"X-Class": {"read"}, "X-Request-Id": {"1"}, "X-Deadline": {c.header}},
 		})
 		if got == nil {
 			t.Fatalf("%q: %s", c.header, complaint)
 		}
-		if math.Abs(got.wait-c.want) > 0.01 {
-			t.Errorf("%q: due after %v ms, want %v", c.header, got.wait, c.want)
+		if math.Abs(got.answerWithin-c.want) > 0.01 {
+			t.Errorf("%q: due after %v ms, want %v", c.header, got.answerWithin, c.want)
 		}
 	}
 }
@@ -257,7 +257,7 @@
 		t.Fatal("the attempt stayed out")
 	}
 	for calls := 1; calls != 0; { // and nothing of the request is kept
-		s.loop.ask(func() { calls = len(s.loop.calls) })
+		s.loop.postAndWait(func() { calls = len(s.loop.calls) })
 	}
 }
 
@@ -285,18 +285,18 @@
 		want int
 	}{
 		"nothing sent": {&call{}, statusRefused},
-		"may have run": {&call{mayRun: true}, statusFailed},
-		"still out":    {&call{open: 1, attempts: []*attempt{newAttempt(time.Time{})}}, statusFailed},
+		"may have run": {&call{mayHaveRun: true}, statusFailed},
+		"still out":    {&call{openAttempts: 1, attempts: []*attempt{newAttempt(time.Time{})}}, statusFailed},
 	} {
-		var got []answer
-		c.call.reply = func(a answer) { got = append(got, a) }
-		l.giveUp(c.call)
-		l.giveUp(c.call)
+		var got []response
+		c.call.respond = func(a response) { got = append(got, a) }
+		l.abort(c.call)
+		l.abort(c.call)
 		if len(got) != 1 || got[0].status != c.want {
 			t.Errorf("%s: answers %v, want one of status %d", name, got, c.want)
 		}
 		for _, a := range c.call.attempts {
-			if a.claim() {
+			if a.mayWrite() {
 				t.Errorf("%s: an attempt could still go out", name)
 			}
 		}
@@ -311,8 +311,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.patience = time.Hour // the test says when it is over
-		s.front.accept = 0
+		s.cachedListDelay = time.Hour // the test says when it is over
+		s.front.drainAcceptTime = 0
 		go s.Run(t.Context())
 		for _, c := range []struct {
 			when string
@@ -322,7 +322,7 @@
 			if err != nil || res.StatusCode != c.want {
 				t.Errorf("%v, %v %s with %d endpoints, want %d", res, err, c.when, len(addrs), c.want)
 			}
-			s.loop.ask(s.loop.useKnown)
+			s.loop.postAndWait(s.loop.useCachedList)
 		}
 	}
 }
@@ -343,8 +343,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
-	s.front.accept = 2 * time.Second // for a test on a busy machine
+	s.cachedListDelay = 0
+	s.front.drainAcceptTime = 2 * time.Second // for a test on a busy machine
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error)
 	go func() { ended <- s.Run(ctx) }()
@@ -383,15 +383,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
+	s.cachedListDelay = 0
 	go s.loop.run()
-	s.loop.post(func() { s.loop.list(cfg.InitialList, forkline.ListCached) })
+	s.loop.post(func() { s.loop.updateList(cfg.InitialList, forkline.ListCached) })
 	go s.front.serve(s.listener)
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
 	<-came
 	ended := make(chan struct{})
-	go func() { s.front.drain(s.listener, acceptTime); close(ended) }()
+	go func() { s.front.drain(s.listener, defaultDrainAcceptTime); close(ended) }()
 	if res, _ := c.answer(t); res.StatusCode != statusFailed {
 		t.Errorf("status %d, want a failure", res.StatusCode)
 	}
@@ -403,7 +403,7 @@
 	closing := func(copies int) time.Duration {
 		s := &Sidecar{cfg: Config{}}
 		s.cfg.Site.Settings = forkline.Settings{Copies: copies, Classes: []forkline.Class{{Timeout: 6000}}}
-		return s.last() - newFront(nil, &s.cfg.Site.Settings, 1).finishing()
+		return s.drainLimit() - newFront(nil, &s.cfg.Site.Settings, 1).finishTime()
 	}
 	if alone, untold, one := closing(1), closing(0), closing(2); alone != 2850*time.Millisecond || untold != alone || one >= alone {
 		t.Errorf("connections close %v after SIGTERM alone, %v untold and %v as one of two", alone, untold, one)
@@ -418,12 +418,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.patience = 0
-	s.front.quiet = time.Hour // which would end them too, but late
+	s.cachedListDelay = 0
+	s.front.requestTimeout = time.Hour // which would end them too, but late
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go s.Run(ctx)
-	for range 2 * s.downstream {
+	for range 2 * s.maxDownstream {
 		dial(t, s)
 	}
 	c := dial(t, s)
@@ -488,14 +488,14 @@
 	usable := func(want int) {
 		t.Helper()
 		for got, end := -1, time.Now().Add(long); got != want; {
-			if s.loop.ask(func() { got = s.loop.usable }); time.Now().After(end) {
+			if s.loop.postAndWait(func() { got = s.loop.readyServers }); time.Now().After(end) {
 				t.Fatalf("%d usable, want %d", got, want)
 			}
 		}
 	}
 	next <- "Ready"
 	usable(1)
-	if id := newDirectory(nil, nil).id("s-7"); s.loop.up.find(id) == nil {
+	if id := newDirectory(nil, nil).id("s-7"); s.loop.upstream.find(id) == nil {
 		t.Error("the watch did not begin at the version that was known")
 	}
 	c := dial(t, s)
@@ -511,7 +511,7 @@
 	}
 	next <- "Gone"
 	for gone := false; !gone; {
-		s.loop.ask(func() { gone = len(s.loop.listed) == 0 && len(s.loop.directory.ids) == 0 })
+		s.loop.postAndWait(func() { gone = len(s.loop.serverReady) == 0 && len(s.loop.directory.ids) == 0 })
 	}
 }
 
@@ -546,7 +546,7 @@
 	s := start(t, cfg)
 	last := newDirectory(nil, nil).id("n-3")
 	for listed := false; !listed; {
-		s.loop.ask(func() { listed = s.loop.listed[last] })
+		s.loop.postAndWait(func() { listed = s.loop.serverReady[last] })
 	}
 	callers := make([]*client, most)
 	for i := range callers {
@@ -624,11 +624,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l.list(cfg.InitialList, forkline.ListCached)
+	l.updateList(cfg.InitialList, forkline.ListCached)
 	first, second := l.directory.id("s-0"), l.directory.id("s-1")
-	l.list(List{Targets: cfg.InitialList.Targets[1:]}, forkline.ListFull)
-	if l.usable != 1 || l.up.find(first) != nil || l.up.find(second) == nil {
-		t.Errorf("%d usable of one that is listed", l.usable)
+	l.updateList(List{Targets: cfg.InitialList.Targets[1:]}, forkline.ListFull)
+	if l.readyServers != 1 || l.upstream.find(first) != nil || l.upstream.find(second) == nil {
+		t.Errorf("%d usable of one that is listed", l.readyServers)
 	}
 }
 
@@ -638,7 +638,7 @@
 	done := make(chan struct{})
 	defer close(done)
 	calls := make(chan string, 10)
-	d := &discovery{policy: unhurried(30 * time.Millisecond), rev: 3, tell: func(List) {}, failed: func() {}}
+	d := &discovery{policy: unhurried(30 * time.Millisecond), rev: 3, onList: func(List) {}, onFailed: func() {}}
 	d.addr = discover(t, func(since string, tell func(List), beat func()) {
 		calls <- since
 		tell(List{Rev: 4})
@@ -658,7 +658,7 @@
 	told, oldEnded := make(chan int64, 10), make(chan struct{})
 	var failures atomic.Int32
 	next := make(chan int64)
-	d := &discovery{policy: unhurried(long), rev: 1, tell: func(l List) { told <- l.Rev }, failed: func() { failures.Add(1) }}
+	d := &discovery{policy: unhurried(long), rev: 1, onList: func(l List) { told <- l.Rev }, onFailed: func() { failures.Add(1) }}
 	old := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		go func() {
@@ -678,16 +678,16 @@
 			t.Fatalf("version %d, want %d", got, rev)
 		}
 	}
-	go d.once(t.Context())
+	go d.poll(t.Context())
 	next <- 2
 	hears(2)
 	if d.move(old) || !d.move(silent) {
 		t.Error("only another address is a move")
 	}
-	go d.once(t.Context())
+	go d.poll(t.Context())
 	for begun := 0; begun < 2; { // so that the watches begin in the order of the moves
 		d.mu.Lock()
-		begun = d.begun.number
+		begun = d.lastCall.number
 		d.mu.Unlock()
 	}
 	next <- 3
@@ -699,7 +699,7 @@
 		tell(List{Rev: 4})
 		<-done
 	}))
-	go d.once(t.Context())
+	go d.poll(t.Context())
 	hears(4)
 	<-oldEnded
 	close(next)
@@ -711,7 +711,7 @@
 // Where the list is asked for, the module decides when to ask again, so it must hear of each failure.
 func TestFailedCallIsReported(t *testing.T) {
 	failed := make(chan struct{}, 1)
-	d := &discovery{policy: unhurried(long), tell: func(List) { t.Error("a list came") }, failed: func() { failed <- struct{}{} }}
+	d := &discovery{policy: unhurried(long), onList: func(List) { t.Error("a list came") }, onFailed: func() { failed <- struct{}{} }}
 	for name, text := range map[string]string{
 		"turned away": "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"reset":       "",
@@ -720,7 +720,7 @@
 		"bad address": "HTTP/1.1 200 OK\r\n\r\n" + `{"targets":[{"uid":"a","endpoint":"nowhere","state":"Ready"}]}` + "\n",
 	} {
 		d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool { io.WriteString(c, text); return false }).Addr().String()
-		d.once(t.Context())
+		d.poll(t.Context())
 		select {
 		case <-failed:
 		default:
@@ -741,7 +741,7 @@
 			t.Errorf("%s is %d and %d", uid, id, b.ids[uid])
 		}
 	}
-	if len(a.taken) != 500 {
-		t.Errorf("%d ids for 500 servers", len(a.taken))
+	if len(a.uids) != 500 {
+		t.Errorf("%d ids for 500 servers", len(a.uids))
 	}
 }
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -13,12 +13,12 @@
 // What the system knows of a connection without reading from it is asked here. Nothing in this file waits.
 
 // socket is the socket of a connection, if it has one.
-func socket(c net.Conn) (syscall.RawConn, error) {
-	of, ok := c.(syscall.Conn)
+func rawConn(c net.Conn) (syscall.RawConn, error) {
+	sc, ok := c.(syscall.Conn)
 	if !ok {
 		return nil, errors.ErrUnsupported
 	}
-	return of.SyscallConn()
+	return sc.SyscallConn()
 }
 
 // stillOpen looks whether the peer has closed an idle connection or sent what nobody asked for.
@@ -29,25 +29,25 @@
 
 // peek tells how many bytes can be read: 0 without an error at the end of the stream.
 func peek(c net.Conn) (n int, err error) {
-	raw, err := socket(c)
+	raw, err := rawConn(c)
 	if err != nil {
 		return 0, err
 	}
-	closed := raw.Control(func(fd uintptr) { // and not Read, which waits for other readers
-		var one [1]byte
-		n, _, err = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+	controlErr := raw.Control(func(fd uintptr) { // and not Read, which waits for other readers
+		var buf [1]byte
+		n, _, err = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return n, cmp.Or(closed, err)
+	return n, cmp.Or(controlErr, err)
 }
 
 // unacknowledged is how many bytes written to a connection its peer's machine has not acknowledged yet.
-func unacknowledged(c net.Conn) (n int, err error) {
-	raw, err := socket(c)
+func unackedBytes(c net.Conn) (n int, err error) {
+	raw, err := rawConn(c)
 	if err != nil {
 		return 0, err
 	}
-	closed := raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
-	return n, cmp.Or(closed, err)
+	controlErr := raw.Control(func(fd uintptr) { n, err = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
+	return n, cmp.Or(controlErr, err)
 }
 
 // hungUp looks whether the peer of a socket has ended its sending or reset the connection.
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -57,22 +57,22 @@
 	return ln
 }
 
-func get() *outgoing {
-	return &outgoing{
-		start:  "GET /browse/x?q=%20 HTTP/1.1\r\nHost: backend.local\r\n",
-		header: http.Header{"X-Request-Id": {"1"}, "X-Deadline": {"99"}},
+func get() *upstreamRequest {
+	return &upstreamRequest{
+		preamble: "GET /browse/x?q=%20 HTTP/1.1\r\nHost: backend.local\r\n",
+		header:   http.Header{"X-Request-Id": {"1"}, "X-Deadline": {"99"}},
 	}
 }
 
 // attemptOn carries out one attempt on the server 1 of u.
-func attemptOn(u *upstream, wait time.Duration) (forkline.Outcome, *answer) {
+func attemptOn(u *upstream, wait time.Duration) (forkline.Outcome, *response) {
 	return u.do(newAttempt(time.Time{}), u.find(1), get(), time.Now().Add(wait))
 }
 
 func pool(addr string, most int) *upstream {
 	u := newUpstream(forkline.Limits{}, 0, most)
-	u.list(1, addr, 0, forkline.Ready)
-	u.rest = 0 // tests use connections again at once
+	u.updateServer(1, addr, 0, forkline.Ready)
+	u.reuseDelay = 0 // tests use connections again at once
 	return u
 }
 
@@ -95,9 +95,9 @@
 		{"cut in the header", "HTTP/1.1 200 OK\r\nContent-", forkline.Reset},
 		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", forkline.Reset},
 		{"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", forkline.Reset},
-		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", maxBody+1), forkline.Reset},
+		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", maxBodyBytes+1), forkline.Reset},
 		{"body without end", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxyz", forkline.Reset},
-		{"chunks over the limit", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", maxBody+1), forkline.Reset},
+		{"chunks over the limit", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", maxBodyBytes+1), forkline.Reset},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-T: 1\r\n\r\n", forkline.OK},
 		{"no length", "HTTP/1.1 200 OK\r\n\r\nhi", forkline.Reset}, // it may have been cut off
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
@@ -107,10 +107,10 @@
 		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
 		{"another protocol", "ICY 200 OK\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
 		{"a header that is none", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
-		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", maxHead), forkline.Reset},
+		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", maxHeadBytes), forkline.Reset},
 		{"spoilt, yet said not to have run", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhi", forkline.Reset},
 		{"interim answers ahead", "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", forkline.OK},
-		{"interim answers without end", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxInterim+1), forkline.Reset},
+		{"interim answers without end", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxInterimResponses+1), forkline.Reset},
 		{"another copy behind", strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 2), forkline.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -194,8 +194,8 @@
 	if got, _ := attemptOn(u, long); got != forkline.OK {
 		t.Errorf("outcome %v, want the request served on a new connection", got)
 	}
-	if u.open != 1 {
-		t.Errorf("%d connections counted, want 1", u.open)
+	if u.openConns != 1 {
+		t.Errorf("%d connections counted, want 1", u.openConns)
 	}
 }
 
@@ -214,11 +214,11 @@
 	on := func(id string, once bool, idle time.Duration) int {
 		t.Helper()
 		if e := u.find(1); len(e.idle) > 0 {
-			e.idle[len(e.idle)-1].since = time.Now().Add(-idle)
+			e.idle[len(e.idle)-1].idleSince = time.Now().Add(-idle)
 		}
 		out := get()
 		out.header.Set("X-Request-Id", id)
-		out.once = once
+		out.atMostOnce = once
 		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), out, time.Now().Add(long)); (got == forkline.OK) == (id == "drop") {
 			t.Fatalf("outcome %v", got)
 		}
@@ -274,13 +274,13 @@
 		}
 	}()
 	u := pool(ln.Addr().String(), 4)
-	u.hold = long
+	u.breakCheckTime = long
 	for i, want := range []forkline.Outcome{forkline.OK, forkline.OK, forkline.ConnectFailed} {
 		out := get()
 		out.header.Set("X-Request-Id", fmt.Sprint("-", i))
-		out.once = true
+		out.atMostOnce = true
 		if i == 2 {
-			u.closeAll(1)
+			u.closeServerIdle(1)
 		}
 		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), out, time.Now().Add(2*long)); got != want {
 			t.Errorf("request %d: outcome %v, want %v", i, got, want)
@@ -294,28 +294,28 @@
 // What is trusted follows what is seen, and no break that idleness cannot have caused.
 func TestTrustInIdleConnections(t *testing.T) {
 	u := pool("127.0.0.1:1", 4)
-	u.reused(0, true)
-	u.reused(leastTrust, true)
-	if u.trust != u.idleLimit {
-		t.Errorf("trust %v after new and busy connections broke", u.trust)
+	u.recordReuse(0, true)
+	u.recordReuse(minTrustedIdle, true)
+	if u.trustedIdle != u.idleTimeout {
+		t.Errorf("trust %v after new and busy connections broke", u.trustedIdle)
 	}
-	u.reused(800*time.Millisecond, true)
-	u.reused(time.Second, true)
-	if u.trust != 400*time.Millisecond {
-		t.Errorf("trust %v, want half the shortest time", u.trust)
+	u.recordReuse(800*time.Millisecond, true)
+	u.recordReuse(time.Second, true)
+	if u.trustedIdle != 400*time.Millisecond {
+		t.Errorf("trust %v, want half the shortest time", u.trustedIdle)
 	}
-	for range regainTrust - 1 {
-		u.reused(time.Second, false)
-		u.reused(100*time.Millisecond, false) // tells nothing of longer times
+	for range reusesToDoubleTrust - 1 {
+		u.recordReuse(time.Second, false)
+		u.recordReuse(100*time.Millisecond, false) // tells nothing of longer times
 	}
-	if u.trust != 400*time.Millisecond {
-		t.Errorf("trust %v, too soon", u.trust)
+	if u.trustedIdle != 400*time.Millisecond {
+		t.Errorf("trust %v, too soon", u.trustedIdle)
 	}
-	if u.reused(time.Second, false); u.trust != 800*time.Millisecond {
-		t.Errorf("trust %v after a run of sound connections", u.trust)
+	if u.recordReuse(time.Second, false); u.trustedIdle != 800*time.Millisecond {
+		t.Errorf("trust %v after a run of sound connections", u.trustedIdle)
 	}
-	if u.reused(leastTrust+1, true); u.trust != leastTrust {
-		t.Errorf("trust %v, want the least", u.trust)
+	if u.recordReuse(minTrustedIdle+1, true); u.trustedIdle != minTrustedIdle {
+		t.Errorf("trust %v, want the least", u.trustedIdle)
 	}
 }
 
@@ -329,7 +329,7 @@
 		t.Fatal(err)
 	}
 	a := newAttempt(time.Time{})
-	a.callOff()
+	a.abort()
 	if got, _, _ := exchange(a, c, get(), time.Now().Add(long), 0); got != forkline.Cancelled {
 		t.Errorf("outcome %v", got)
 	}
@@ -350,7 +350,7 @@
 	})
 	u := pool(ln.Addr().String(), 4)
 	a := newAttempt(time.Time{})
-	go func() { <-came; a.callOff() }()
+	go func() { <-came; a.abort() }()
 	if got, _ := u.do(a, u.find(1), get(), time.Now().Add(long)); got != forkline.Cancelled {
 		t.Errorf("outcome %v", got)
 	}
@@ -387,16 +387,16 @@
 		ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
 		cfg := config(t)
 		u := pool(ln.Addr().String(), 4)
-		u.grace = millis(grace)
+		u.firstByteTimeout = msToDuration(grace)
 		l, err := newLoop(&cfg, u)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := l.now()
-		c := &call{out: *get()}
+		c := &call{outgoing: *get()}
 		l.send(c, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: now + 1e6, LastByteBy: now - 1})
-		for c.open > 0 { // ahead of the outcome comes news of the connection
-			(<-l.mail)()
+		for c.openAttempts > 0 { // ahead of the outcome comes news of the connection
+			(<-l.queue)()
 		}
 		if len(requests) != 0 || len(u.find(1).idle) != 1 {
 			t.Errorf("grace %v: the request went out, or its connection was not kept", grace)
@@ -418,7 +418,7 @@
 	}
 	first, second := script(t, serve), script(t, serve)
 	u := pool(first.Addr().String(), 1)
-	u.list(2, second.Addr().String(), 0, forkline.Ready)
+	u.updateServer(2, second.Addr().String(), 0, forkline.Ready)
 	attemptOn(u, long)
 	if len(u.find(1).idle) != 1 {
 		t.Fatal("no idle connection to begin with")
@@ -435,8 +435,8 @@
 		t.Errorf("outcome %v with no descriptor left", got)
 	}
 	close(hold)
-	if got := <-done; got != forkline.OK || u.open != 1 {
-		t.Errorf("outcome %v with %d connections, want it served in place of the idle one", got, u.open)
+	if got := <-done; got != forkline.OK || u.openConns != 1 {
+		t.Errorf("outcome %v with %d connections, want it served in place of the idle one", got, u.openConns)
 	}
 }
 
@@ -452,9 +452,9 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { raw.Close(); far.Close() })
-	c = &conn{Conn: raw, reader: bufio.NewReader(raw), home: u.find(1), taken: time.Now().Add(-took)}
-	u.open++
-	u.put(c)
+	c = &conn{Conn: raw, reader: bufio.NewReader(raw), server: u.find(1), takenAt: time.Now().Add(-took)}
+	u.openConns++
+	u.putIdle(c)
 	return c, far
 }
 
@@ -482,14 +482,14 @@
 			time.Sleep(rest)
 		}, rest, long, false, 2, rest, 2},
 		"in place of one that is not trusted": {func(u *upstream, first, _ *conn, _ net.Conn, _ func()) {
-			u.trust, first.since = leastTrust, first.since.Add(-time.Second)
+			u.trustedIdle, first.idleSince = minTrustedIdle, first.idleSince.Add(-time.Second)
 		}, rest, long, true, 2, rest, 2},
 		"in place of one that is too old": {func(u *upstream, first, _ *conn, _ net.Conn, _ func()) {
-			first.since = first.since.Add(-time.Hour)
+			first.idleSince = first.idleSince.Add(-time.Hour)
 		}, rest, long, false, 2, rest, 1},
 		"not for longer than a request takes": {nil, rest - 2*time.Millisecond, long, false, 0, 0, 2},
 		"not for longer than is trusted": {func(u *upstream, _, _ *conn, _ net.Conn, _ func()) {
-			u.trust = rest - 1
+			u.trustedIdle = rest - 1
 		}, rest, long, true, 0, 0, 2},
 		"a second answer meanwhile": {func(_ *upstream, first, _ *conn, far net.Conn, _ func()) {
 			time.AfterFunc(rest/2, func() {
@@ -507,7 +507,7 @@
 			ln := listen(t)
 			synctest.Test(t, func(t *testing.T) {
 				u := pool("127.0.0.1:1", 4) // nobody listens there
-				u.rest = rest
+				u.reuseDelay = rest
 				first, far := idleConn(t, u, ln, c.took)
 				time.Sleep(time.Millisecond)
 				second, _ := idleConn(t, u, ln, c.took)
@@ -521,8 +521,8 @@
 				if want := []*conn{nil, first, second}[c.want]; got != want || (err == nil) != (want != nil) {
 					t.Errorf("connection %p and %v, want %d of %p and %p", got, err, c.want, first, second)
 				}
-				if d := time.Since(start); d != c.after || u.open != c.open {
-					t.Errorf("after %v with %d connections, want %v and %d", d, u.open, c.after, c.open)
+				if d := time.Since(start); d != c.after || u.openConns != c.open {
+					t.Errorf("after %v with %d connections, want %v and %d", d, u.openConns, c.after, c.open)
 				}
 			})
 		})
@@ -537,19 +537,19 @@
 	})
 	addr := ln.Addr().String()
 	for name, change := range map[string]func(u *upstream){
-		"draining":  func(u *upstream) { u.list(1, addr, 0, forkline.Draining) },
-		"gone":      func(u *upstream) { u.list(1, addr, 0, forkline.Removed) },
-		"restarted": func(u *upstream) { u.list(1, addr, 9, forkline.Ready) },
-		"moved":     func(u *upstream) { u.list(1, "127.0.0.1:1", 0, forkline.Ready) },
-		"closed":    func(u *upstream) { u.closeAll(1) },
+		"draining":  func(u *upstream) { u.updateServer(1, addr, 0, forkline.Draining) },
+		"gone":      func(u *upstream) { u.updateServer(1, addr, 0, forkline.Removed) },
+		"restarted": func(u *upstream) { u.updateServer(1, addr, 9, forkline.Ready) },
+		"moved":     func(u *upstream) { u.updateServer(1, "127.0.0.1:1", 0, forkline.Ready) },
+		"closed":    func(u *upstream) { u.closeServerIdle(1) },
 	} {
 		u := pool(addr, 4)
 		attemptOn(u, long)
-		if u.open != 1 {
-			t.Fatalf("%s: %d connections to begin with", name, u.open)
+		if u.openConns != 1 {
+			t.Fatalf("%s: %d connections to begin with", name, u.openConns)
 		}
-		if change(u); u.open != 0 {
-			t.Errorf("%s: %d connections left", name, u.open)
+		if change(u); u.openConns != 0 {
+			t.Errorf("%s: %d connections left", name, u.openConns)
 		}
 	}
 }
@@ -561,11 +561,11 @@
 		return true
 	})
 	u := pool(ln.Addr().String(), 4)
-	u.idleLimit = 20 * time.Millisecond
+	u.idleTimeout = 20 * time.Millisecond
 	attemptOn(u, long)
 	for end := time.Now().Add(long); ; time.Sleep(time.Millisecond) {
 		u.mu.Lock()
-		open := u.open
+		open := u.openConns
 		u.mu.Unlock()
 		if open == 0 {
 			return
