--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -12,50 +12,52 @@
 )
 
 const (
-	// backstop is how long after its time the loop answers what the module has left unanswered, at most, and half of
-	// the time that was held back: the client's own time is not over then.
+	// backstopDelay is the longest time after a call's deadline at which the loop answers it if the module has not.
+	// At most half of the call's safety margin is used, so the client is still waiting for the response.
 	backstopDelay = 10 * time.Millisecond
 )
 
-// call is one request that the sidecar has taken. The loop owns it.
+// call is one accepted client request. It is owned by the loop.
 type call struct {
-	event         forkline.Event // as the module hears of it
-	id            string         // its client's
-	class         string         // these six are what it asks for; the tables are those that it was placed by
+	event forkline.Event // the request as passed to the module
+	id    string         // X-Request-Id, set by the client
+	// The next five fields come from the request; index holds the settings that were applied to it.
+	class         string
 	tenant        string
 	method        string
 	hasKey        bool
-	clientTimeout float64 // s that its client waits
+	clientTimeout float64 // seconds; how long the client waits
 	index         *settingsIndex
-	answerWithin  float64 // ms from its arrival in which it must be answered
-	margin        float64 // ms from then until its client gives up
+	answerWithin  float64 // ms from arrival within which the call must be answered
+	margin        float64 // ms between that and the time at which the client gives up
 	outgoing      upstreamRequest
-	respond       func(response) // takes the one final answer
-	clientGone    func() bool    // looks whether its client has left, whatever the loop has heard; nil = it never does
+	respond       func(response) // takes the one final response
+	clientGone    func() bool    // reports whether the connection is closed, before the loop is notified; nil = never
 	backstop      *timerEntry
 	ended         bool
-	safe          bool // it may run any number of times
-	mayHaveRun    bool // an attempt that is over may have run
-	openAttempts  int  // attempts out
+	safe          bool // may run any number of times
+	mayHaveRun    bool // a finished attempt may have run
+	openAttempts  int  // number of attempts in flight
 	attempts      []*attempt
-	retry         *call // the same request once more, from a client that had left this one
+	retry         *call // the same request sent again by a client that had disconnected
 }
 
-// hasLeft looks whether the call's client has left. News of that waits in the loop's mail behind whatever came before.
+// clientDisconnected reports whether the call's client has disconnected. It asks the connection directly, because the
+// notification waits in the loop's queue behind earlier events.
 func (c *call) clientDisconnected() bool { return c.clientGone != nil && c.clientGone() }
 
-// due tells the call when it arrived.
+// setDeadline sets the call's deadline from its arrival time.
 func (c *call) setDeadline(arrivedAt float64) { c.event.Deadline = arrivedAt + c.answerWithin }
 
-// due is one thing to do at a time: a timer of the module's, or the backstop of a call.
+// timerEntry is one entry of the timer queue: a timer of the module or the backstop of a call.
 type timerEntry struct {
 	at        float64
 	token     uint64
-	call      *call // nil for a timer
-	heapIndex int   // in the agenda; -1 once it is out
+	call      *call // nil for a timer of the module
+	heapIndex int   // position in the queue; -1 once it has been removed
 }
 
-// agenda is a heap of them, the next one first.
+// timerQueue is a heap of entries, ordered by time.
 type timerQueue []*timerEntry
 
 func (q timerQueue) Len() int           { return len(q) }
@@ -78,34 +80,34 @@
 	return last
 }
 
-// loop owns the Balancer and all state of requests: one goroutine runs it, the rest post to it.
-// It never waits for a socket.
+// loop owns the Balancer and the state of all calls. A single goroutine runs it and never blocks on a socket; other
+// goroutines post functions to it.
 type loop struct {
 	start             time.Time
-	startMS           float64 // the same as Unix time
+	startMS           float64 // start as Unix time in ms
 	balancer          *forkline.Balancer
-	limitsConcurrency bool          // it is at the front, where the module limits the calls out
-	retryAfter        time.Duration // told with a refusal of the loop's own
+	limitsConcurrency bool          // the module limits concurrency only at the front stage
+	retryAfter        time.Duration // sent with refusals that the loop issues itself
 	actions           []forkline.Action
 	queue             chan func()
-	done              chan struct{} // closed when the program ends
+	done              chan struct{} // closed when the sidecar stops
 	upstream          *upstream
-	requestWatch      func() // asks for the list to be watched
+	requestWatch      func() // starts a watch of the server list
 	calls             map[uint32]*call
-	callsByID         map[string]*call // by the ids of their clients
-	endedIDs          *recentIDs       // ids of calls that are over
-	idRetention       float64          // for how long, in ms
-	pendingRetries    []*call          // over now; each has been asked for again meanwhile
-	aborted           bool             // all is given up
-	cachedList        *List            // the list of before, until the first one comes
-	reloadedIndex     *settingsIndex   // put in force by a reload; nil = those of the start
+	callsByID         map[string]*call // by X-Request-Id
+	endedIDs          *recentIDs       // IDs of ended calls that may have run and are not safe to repeat
+	idRetention       float64          // ms for which those IDs are kept
+	pendingRetries    []*call          // ended calls whose retry is waiting to be accepted
+	aborted           bool             // all calls have been aborted; new ones are refused
+	cachedList        *List            // the initial list, until the first update arrives; nil afterwards
+	reloadedIndex     *settingsIndex   // settings of the last reload; nil = the initial ones
 	lastRequest       uint32
 	timerQueue        timerQueue
 	timer             *time.Timer
-	timerAt           float64 // when the timer is due
+	timerAt           float64 // ms; when timer fires, +Inf = never
 	directory         *directory
-	serverReady       map[uint32]bool // servers of the list, and whether they are ready
-	readyServers      int             // those that are
+	serverReady       map[uint32]bool // all listed servers, and whether each is ready
+	readyServers      int             // number of listed servers that are ready
 	margin            margin
 }
 
@@ -126,9 +128,9 @@
 	return l, err
 }
 
-// settings are those that the module is told.
+// moduleSettings adapts the configured settings to what this sidecar supports.
 func (l *loop) moduleSettings(settings forkline.Settings) forkline.Settings {
-	settings.Limits.Probing = false // this sidecar sends none
+	settings.Limits.Probing = false // this sidecar sends no probes
 	settings.Limits.IdleTimeout = float64(idleTimeout(settings.Limits).Microseconds()) / 1000
 	if settings.Limits.MaxOpenRequests == 0 || settings.Limits.MaxOpenRequests > l.upstream.maxConns {
 		settings.Limits.MaxOpenRequests = l.upstream.maxConns // each open request may need a connection
@@ -136,7 +138,7 @@
 	return settings
 }
 
-// post has the loop run f, unless it has ended; it waits while the loop is behind.
+// post queues f for the loop. It blocks while the queue is full and does nothing once the loop has stopped.
 func (l *loop) post(f func()) {
 	select {
 	case l.queue <- f:
@@ -144,7 +146,7 @@
 	}
 }
 
-// offer has the loop run f if there is room in its mail, and does not wait.
+// tryPost queues f for the loop unless the queue is full. It does not block.
 func (l *loop) tryPost(f func()) {
 	select {
 	case l.queue <- f:
@@ -152,7 +154,7 @@
 	}
 }
 
-// ask has the loop run f and waits until it has.
+// postAndWait queues f for the loop and waits until f has run or the loop has stopped.
 func (l *loop) postAndWait(f func()) {
 	done := make(chan struct{})
 	l.post(func() { f(); close(done) })
@@ -162,7 +164,8 @@
 	}
 }
 
-// The module's clock is Unix time in milliseconds, as endpoints tell their start, and runs on monotonically.
+// The module's clock is Unix time in milliseconds, the unit in which endpoints report their start time. It advances
+// monotonically.
 func (l *loop) now() float64 { return l.startMS + float64(time.Since(l.start).Microseconds())/1000 }
 func (l *loop) clockMS(t time.Time) float64 {
 	return l.startMS + float64(t.Sub(l.start).Microseconds())/1000
@@ -185,12 +188,13 @@
 		l.runDue()
 		if len(l.timerQueue) > 0 && l.timerQueue[0].at < l.timerAt {
 			l.timerAt = l.timerQueue[0].at
-			l.timer.Reset(max(time.Until(l.timeAt(l.timerAt)), time.Microsecond)) // the clock has to move on: it is cut to that
+			// The clock is truncated to microseconds, so wait for at least one.
+			l.timer.Reset(max(time.Until(l.timeAt(l.timerAt)), time.Microsecond))
 		}
 	}
 }
 
-// expire does what is due.
+// runDue accepts pending retries and fires the timers that are due.
 func (l *loop) runDue() {
 	for len(l.pendingRetries) > 0 {
 		previous := l.pendingRetries[0]
@@ -208,7 +212,7 @@
 	}
 }
 
-// handle gives the module an event and carries its actions out.
+// handle passes an event to the module and applies the resulting actions.
 func (l *loop) handle(ev *forkline.Event) {
 	l.actions = l.balancer.Handle(l.now(), ev, l.actions[:0])
 	l.applyActions()
@@ -246,7 +250,7 @@
 	}
 }
 
-// take begins a request that has come whole.
+// accept starts a call whose request has been read completely.
 func (l *loop) accept(c *call) {
 	if c.clientDisconnected() {
 		l.handleDisconnect(c)
@@ -269,7 +273,7 @@
 		previous = l.callsByID[c.id]
 	}
 	if previous != nil && previous.ended && (previous.retry == nil || previous.retry.ended) {
-		previous.retry = c // what is open of it is called off and ends soon
+		previous.retry = c // its open attempts have been cancelled and end soon
 		c.mayHaveRun = previous.mayHaveRun || previous.openAttempts > 0
 		l.armBackstop(c)
 		return
@@ -285,11 +289,12 @@
 	l.handle(&c.event)
 }
 
-// turnAway is the answer to a call that cannot be taken at all; nil if it can. One that may have run before under this
-// id, and may not run twice, has failed: a refusal would say that nothing can have run.
+// checkAdmission returns the response to a call that cannot be accepted, or nil if it can. A call that is not safe to
+// repeat and may have run before under its ID gets a failure: a refusal would promise that nothing has run.
 func (l *loop) checkAdmission(c *call) *response {
 	l.endedIDs.expire(l.now())
-	if previous := l.callsByID[c.id]; !c.safe && (l.endedIDs.contains(c.id) || l.aborted && previous != nil && (previous.mayHaveRun || previous.openAttempts > 0)) {
+	if previous := l.callsByID[c.id]; !c.safe && (l.endedIDs.contains(c.id) ||
+		l.aborted && previous != nil && (previous.mayHaveRun || previous.openAttempts > 0)) {
 		return &response{status: statusFailed}
 	}
 	if l.aborted || !c.safe && l.endedIDs.isFull(len(l.calls)) {
@@ -298,7 +303,7 @@
 	return nil
 }
 
-// awaitEnd sets a call's backstop.
+// armBackstop schedules the backstop of a call.
 func (l *loop) armBackstop(c *call) {
 	if c.backstop == nil {
 		c.backstop = &timerEntry{at: c.event.Deadline + min(float64(backstopDelay.Milliseconds()), c.margin/2), call: c}
@@ -306,8 +311,8 @@
 	}
 }
 
-// takeAgain takes a request that has waited for the end of an earlier copy of it. If that may have run, only a request
-// that is safe to repeat may go out.
+// acceptRetry accepts a call that has waited for an earlier call with the same ID to end. If the earlier call may
+// have run, only a call that is safe to repeat is sent.
 func (l *loop) acceptRetry(previous *call) {
 	switch c := previous.retry; {
 	case c == nil || c.ended:
@@ -319,7 +324,7 @@
 	}
 }
 
-// send starts an attempt; its goroutine posts the outcome.
+// send starts an attempt in a new goroutine, which posts the outcome to the loop.
 func (l *loop) send(c *call, action *forkline.Action) {
 	server, attemptDeadline := action.Server, action.Deadline
 	sentAt, firstByteBy := time.Now(), time.Time{}
@@ -349,7 +354,7 @@
 	}()
 }
 
-// connecting hears that an attempt waits for a new connection, or does so no more.
+// reportConnecting tells the module that an attempt has started or stopped waiting for a new connection.
 func (l *loop) reportConnecting(c *call, number int, connecting bool) {
 	kind := forkline.EvConnected
 	if connecting {
@@ -358,24 +363,25 @@
 	l.handle(&forkline.Event{Kind: kind, Request: c.event.Request, Attempt: uint16(number)})
 }
 
-// closed hears how an attempt ended, with the final answer where it gives one.
+// attemptEnded handles the outcome of an attempt; final is the final response, if the attempt yielded one.
 func (l *loop) attemptEnded(c *call, number int, server uint32, outcome forkline.Outcome, final *response, elapsed time.Duration) {
 	a := c.attempts[number]
 	c.openAttempts--
 	c.mayHaveRun = c.mayHaveRun || outcome != forkline.Rejected && outcome != forkline.ConnectFailed && outcome != forkline.NotSent
 	if final != nil {
 		l.finish(c, *final)
-	} else if !c.ended && c.clientDisconnected() { // before the module decides on a further attempt
+	} else if !c.ended && c.clientDisconnected() { // checked before the module decides on another attempt
 		l.handleDisconnect(c)
 	}
 	l.handle(&forkline.Event{
 		Kind: forkline.EvOutcome, Request: c.event.Request, Attempt: uint16(number), Server: server,
-		Outcome: outcome, Elapsed: durationToMS(elapsed), ServiceTime: durationToMS(a.serviceTime), NewConnection: a.newConnection, RequestDone: c.ended,
+		Outcome: outcome, Elapsed: durationToMS(elapsed), ServiceTime: durationToMS(a.serviceTime),
+		NewConnection: a.newConnection, RequestDone: c.ended,
 	})
 	l.release(c)
 }
 
-// finish gives the one final answer.
+// finish sends the final response of a call, unless it has ended.
 func (l *loop) finish(c *call, r response) {
 	if c == nil || c.ended {
 		return
@@ -385,7 +391,8 @@
 	l.release(c)
 }
 
-// release forgets a call once nothing more can be heard of it. Its body must not stay in the agenda till its time.
+// release forgets a call that has ended and has no open attempts. It also removes the backstop, which would otherwise
+// keep the request body in memory until the deadline.
 func (l *loop) release(c *call) {
 	if !c.ended || c.openAttempts > 0 {
 		return
@@ -393,7 +400,7 @@
 	if c.backstop != nil && c.backstop.heapIndex >= 0 {
 		heap.Remove(&l.timerQueue, c.backstop.heapIndex)
 	}
-	if l.callsByID[c.id] != c { // it was not taken, as another call has its id
+	if l.callsByID[c.id] != c { // the call was not accepted because another call has its ID
 		return
 	}
 	delete(l.calls, c.event.Request)
@@ -402,11 +409,11 @@
 		l.endedIDs.add(c.id, l.now()+l.idRetention)
 	}
 	if c.retry != nil {
-		l.pendingRetries = append(l.pendingRetries, c) // not now: the module's actions are being carried out
+		l.pendingRetries = append(l.pendingRetries, c) // not accepted here, as the module's actions are still being applied
 	}
 }
 
-// gone hears that the client has left: nothing more is owed, and nothing more goes out.
+// handleDisconnect ends a call whose client has disconnected: no response is sent and all attempts are cancelled.
 func (l *loop) handleDisconnect(c *call) {
 	if c.ended {
 		return
@@ -417,15 +424,16 @@
 	l.release(c)
 }
 
-// callOff ends the attempts of a call that has ended, also where the module may not cancel.
+// cancelAttempts cancels all attempts of a call that has ended, even if the settings forbid the module to cancel
+// attempts.
 func (l *loop) cancelAttempts(c *call) {
 	for _, a := range c.attempts {
 		a.abort()
 	}
 }
 
-// giveUp is the backstop: it answers a call that the module has left unanswered, with a refusal only
-// if nothing of it can have run.
+// abort answers a call that the module has left unanswered, either at its backstop or at shutdown. It refuses the
+// call only if no attempt can have run.
 func (l *loop) abort(c *call) {
 	if c.ended {
 		return
@@ -439,7 +447,7 @@
 	l.handle(&forkline.Event{Kind: forkline.EvClientGone, Request: c.event.Request})
 }
 
-// giveUpAll does so for every call, as the program must end now; what comes later is refused.
+// abortAll aborts every call at the end of a shutdown; calls that arrive later are refused.
 func (l *loop) abortAll() {
 	l.aborted = true
 	for _, c := range l.calls {
@@ -450,7 +458,7 @@
 	}
 }
 
-// list hears what discovery tells.
+// updateList applies a list or a list change received from discovery.
 func (l *loop) updateList(list List, kind forkline.ListKind) {
 	if l.cachedList != nil && kind == forkline.ListDelta {
 		list, kind = l.cachedList.merge(list), forkline.ListFull
@@ -490,14 +498,14 @@
 	l.handle(&ev)
 }
 
-// useKnown makes do with the list of before.
+// useCachedList falls back to the initial list if no update has arrived.
 func (l *loop) useCachedList() {
 	if l.cachedList != nil {
 		l.updateList(*l.cachedList, forkline.ListCached)
 	}
 }
 
-// listEvent tells the module of discovery what comes with no entries.
+// handleListEvent passes a discovery event without list entries to the module.
 func (l *loop) handleListEvent(kind forkline.ListKind) {
 	l.handle(&forkline.Event{Kind: forkline.EvList, List: kind})
 }
--- a/internal/sidecar/margin.go
+++ b/internal/sidecar/margin.go
@@ -7,14 +7,14 @@
 	"forkline/internal/deadline"
 )
 
-// margin is the sidecar's deadline.Margin, which the loop and the goroutines of clients' connections share.
+// margin guards the sidecar's deadline.Margin, which is shared by the loop and the goroutines of client connections.
 type margin struct {
-	loop     *loop // has the clock
+	loop     *loop // provides the clock
 	mu       sync.Mutex
 	estimate deadline.Margin
 }
 
-// measured notes how long ago a thing was to happen that happens now.
+// observe records the delay of something that was scheduled at the given time and happens now.
 func (m *margin) observe(phase deadline.Phase, scheduledAt float64) {
 	now := m.loop.now()
 	m.mu.Lock()
@@ -22,13 +22,13 @@
 	m.estimate.Observe(phase, now, now-scheduledAt)
 }
 
-// answers begins to measure an answer that was decided on then. A client that reads it slowly is no delay of the core:
-// what counts is the time until the answer's first byte.
+// observeResponse records the delay from the decision on a response to its first byte. Later delays are excluded,
+// because a client that reads slowly does not indicate CPU contention.
 func (m *margin) observeResponse(decidedAt time.Time) {
 	m.observe(deadline.Response, m.loop.clockMS(decidedAt))
 }
 
-// hold tells how many ms to hold back of the ms left to a client.
+// reserve returns how many of the client's remaining ms to hold back.
 func (m *margin) reserve(remaining float64) float64 {
 	now := m.loop.now()
 	m.mu.Lock()
