--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -15,25 +15,29 @@
 	"forkline"
 )
 
-// One attempt on one connection is here: what is written, how late it may be, and what the answer proves.
+// This file implements one attempt on one connection: what is written, until when it may be written, and what the
+// response proves.
 
 const (
-	earlyBreakTime        = 25 * time.Millisecond // a dropped connection breaks under a request this soon; later, its server failed
-	defaultBreakCheckTime = time.Millisecond      // for a broken connection to show: a few round trips within a data centre
-	maxSingleWrite        = 8 << 10               // bytes that a connection takes without waiting for its peer
-	ackPollInterval       = time.Millisecond      // between two looks at what the endpoint's machine has acknowledged
+	// earlyBreakTime is how soon after a write a connection breaks if the peer had already dropped it. A later break is
+	// a failure of the server.
+	earlyBreakTime = 25 * time.Millisecond
+	// defaultBreakCheckTime is how long to wait for a broken connection to show: a few round trips in a data center.
+	defaultBreakCheckTime = time.Millisecond
+	maxSingleWrite        = 8 << 10          // bytes that a write passes to the kernel without waiting for the peer
+	ackPollInterval       = time.Millisecond // interval between checks of what the peer's kernel has acknowledged
 )
 
-// outgoing is what every attempt of a request sends, but for the time left.
+// upstreamRequest is what every attempt of a call sends, except for the remaining time.
 type upstreamRequest struct {
-	preamble   string // request line and Host
+	preamble   string // request line and Host header
 	header     http.Header
 	body       []byte
-	atMostOnce bool // it must never run twice
-	safe       bool // it may run any number of times
+	atMostOnce bool // must never run twice
+	safe       bool // may run any number of times
 }
 
-// answer is a whole answer for a client.
+// response is a complete response for a client.
 type response struct {
 	status     int
 	header     http.Header
@@ -41,20 +45,20 @@
 	retryAfter time.Duration
 }
 
-// attempt is the handle on one send of a request.
+// attempt is the handle of one send of a request.
 type attempt struct {
 	ctx                context.Context
 	cancel             context.CancelFunc
-	firstByteBy        time.Time   // latest time for its first byte; zero for any
-	lastByteBy         time.Time   // latest time for its last byte, by when it is whole at its endpoint; zero for any
-	clientDisconnected func() bool // looks whether the request's client has left; nil = it never does
-	onConnecting       func(bool)  // hears that it waits for a new connection, and that this is up; nil = nobody wants to know
+	firstByteBy        time.Time   // latest time for its first byte; zero = any
+	lastByteBy         time.Time   // latest time for its last byte, which completes the request at the endpoint; zero = any
+	clientDisconnected func() bool // reports whether the client has disconnected; nil = never
+	onConnecting       func(bool)  // called when the attempt starts or stops waiting for a new connection; may be nil
 	mu                 sync.Mutex
-	aborted            bool // called off
+	aborted            bool // guarded by mu
 
-	// What its own goroutine notes of its way; others may read it once do has returned.
-	newConnection bool          // its connection was opened for it
-	serviceTime   time.Duration // from its last byte to the first one of an answer; 0 = there was none
+	// The fields below are written by the attempt's goroutine and may be read by others once do has returned.
+	newConnection bool          // the connection was dialed for this attempt
+	serviceTime   time.Duration // from its last byte to the first byte of the response; 0 = no response
 }
 
 func newAttempt(firstByteBy time.Time) *attempt {
@@ -63,7 +67,7 @@
 	return a
 }
 
-// callOff ends the attempt: nothing is written for it any more and its connection is closed.
+// abort ends the attempt: nothing more is written and its connection is closed.
 func (a *attempt) abort() {
 	a.mu.Lock()
 	a.aborted = true
@@ -71,8 +75,9 @@
 	a.cancel()
 }
 
-// claim tells whether the request may be written now: by then it was not called off, nor has its client left. It is
-// asked right before the first byte and right before the last one, as the news of either may still be on its way.
+// mayWrite reports whether the request may still be written: the attempt has not been aborted and the client is
+// connected. It is called right before the first byte and right before the last byte, because the loop may not have
+// processed either event yet.
 func (a *attempt) mayWrite() bool {
 	a.mu.Lock()
 	aborted := a.aborted
@@ -80,26 +85,27 @@
 	return !aborted && (a.clientDisconnected == nil || !a.clientDisconnected())
 }
 
-// connecting notes that the attempt waits for a new connection, or does so no more.
+// notifyConnecting reports that the attempt has started or stopped waiting for a new connection.
 func (a *attempt) notifyConnecting(connecting bool) {
 	if a.onConnecting != nil {
 		a.onConnecting(connecting)
 	}
 }
 
-// lateToBegin tells whether it is too late for the first byte.
+// firstByteLate reports whether it is too late to write the first byte.
 func (a *attempt) firstByteLate() bool {
 	return a.lastByteLate() || !a.firstByteBy.IsZero() && time.Now().After(a.firstByteBy)
 }
 
-// lateToEnd tells whether it is too late for the last byte.
+// lastByteLate reports whether it is too late to write the last byte.
 func (a *attempt) lastByteLate() bool {
 	return !a.lastByteBy.IsZero() && time.Now().After(a.lastByteBy)
 }
 
-// delivered waits until the endpoint's machine has acknowledged all that was written, and tells whether it has while
-// there was time. Bytes behind those that are still on their way would be whole there nobody knows when. An attempt
-// that may be whole at any time does not wait, nor does one whose connection cannot tell.
+// awaitDelivery waits until the peer's kernel has acknowledged all bytes written so far and reports whether it did so
+// in time. If the last byte were written behind bytes still in flight, the time at which the request is complete at
+// the endpoint would be unknown. It does not wait if the attempt has no limit for its last byte or if the connection
+// does not report acknowledgements.
 func (a *attempt) awaitDelivery(c net.Conn) bool {
 	for !a.lastByteBy.IsZero() {
 		if n, err := unackedBytes(c); err != nil || n == 0 {
@@ -112,7 +118,7 @@
 	return true
 }
 
-// exchange writes the request, waits for the answer and tells whether the connection can be used again.
+// exchange writes the request and reads the response. The last result reports whether the connection can be reused.
 func exchange(a *attempt, c *conn, outgoing *upstreamRequest, deadline time.Time, breakCheck time.Duration) (forkline.Outcome, *response, bool) {
 	if outcome, written, reusable := writeRequest(a, c, outgoing, deadline, breakCheck); !written {
 		return outcome, nil, reusable
@@ -127,13 +133,13 @@
 	return readResponse(a, c, outgoing)
 }
 
-// text is the request as it is written, with the time that is left.
+// encode returns the request in wire format, with the remaining time until the deadline.
 func (r *upstreamRequest) encode(deadline time.Time) []byte {
 	var text bytes.Buffer
 	text.Grow(len(r.preamble) + len(r.body) + 512)
 	text.WriteString(r.preamble)
 	r.header.WriteSubset(&text, map[string]bool{"X-Deadline": true})
-	remaining := max(time.Until(deadline), 0).Truncate(time.Millisecond) // rounded up, it would tell more than there is
+	remaining := max(time.Until(deadline), 0).Truncate(time.Millisecond) // rounding up would promise more time than there is
 	fmt.Fprintf(&text, "X-Deadline: %.3f\r\n", remaining.Seconds())
 	if len(r.body) > 0 || !strings.HasPrefix(r.preamble, "GET ") {
 		fmt.Fprintf(&text, "Content-Length: %d\r\n", len(r.body))
@@ -143,9 +149,9 @@
 	return text.Bytes()
 }
 
-// writeRequest writes the request. If it was not written whole, nothing has run: the outcome says so, and whether the
-// connection can be used again. The last byte of a long request, and of one that must not run twice, goes by itself:
-// nothing has run before it is there.
+// writeRequest writes the request. If it was not written completely, it cannot have run, and the outcome says so. For
+// a long request or an at-most-once request the last byte is written separately, because nothing runs before that
+// byte arrives. The result reusable reports whether the connection can be used for another attempt.
 func writeRequest(a *attempt, c *conn, outgoing *upstreamRequest, deadline time.Time, breakCheck time.Duration) (outcome forkline.Outcome, written, reusable bool) {
 	c.SetDeadline(deadline)
 	text := outgoing.encode(deadline)
@@ -153,9 +159,9 @@
 		c.SetWriteDeadline(a.lastByteBy)
 	}
 	if !a.mayWrite() {
-		return unwrittenOutcome(a), false, c.idleFor == 0 // one that was idle already must not look as if just used
+		return unwrittenOutcome(a), false, c.idleFor == 0 // a connection that was idle before must not appear to be recently used
 	}
-	if a.firstByteLate() { // its endpoint may have been told to drain meanwhile, or forget the request's first copy
+	if a.firstByteLate() { // the endpoint may have been told to drain, or may forget an earlier attempt of this request
 		return forkline.ConnectFailed, false, c.idleFor == 0
 	}
 	if !outgoing.atMostOnce {
@@ -167,7 +173,7 @@
 			c.brokeEarly = errorOutcome(a, err, forkline.Reset) == forkline.Reset
 			return errorOutcome(a, err, forkline.ConnectFailed), false, false
 		}
-		if c.idleFor > 0 && c.reader.Buffered() > 0 { // a second answer to a request before
+		if c.idleFor > 0 && c.reader.Buffered() > 0 { // a duplicate response to an earlier request
 			c.desynced = true
 			return forkline.ConnectFailed, false, false
 		}
@@ -188,29 +194,32 @@
 	return 0, true, false
 }
 
-// readResponse reads the answer, tells what it proves and whether the connection can be used again.
+// readResponse reads the response and returns the outcome that it proves. The result reusable reports whether the
+// connection can be used again.
 func readResponse(a *attempt, c *conn, outgoing *upstreamRequest) (outcome forkline.Outcome, resp *response, reusable bool) {
-	// What cannot be read whole may have run, whatever its head says.
+	// A request whose response cannot be read completely may have run, whatever its status line says.
 	status, m, body, err := readFinalResponse(c.reader)
 	if err != nil {
 		return errorOutcome(a, err, forkline.Reset), nil, false
 	}
-	// Bytes behind a sound answer do not spoil it, but no answer read after them can be trusted.
+	// Extra bytes after a valid response do not invalidate it, but later responses on the connection cannot be
+	// trusted.
 	reusable = m.keepAlive() && c.reader.Buffered() == 0 && stillOpen(c.Conn)
 	switch {
 	case status == http.StatusOK:
 		return forkline.OK, &response{status: status, header: stripHopByHop(m.header), body: body}, reusable
 	case (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && m.header.Get("X-Not-Run") == "1":
 		return c.notRunOutcome(outgoing, reusable)
-	case status/100 == 4: // the request's own fault: no other endpoint would serve it, and this one is sound
+	case status/100 == 4: // the request is at fault: other endpoints would reject it too, and this one is healthy
 		return forkline.Cancelled, &response{status: status}, reusable
 	}
 	return forkline.Error, nil, reusable
 }
 
-// notRun tells what an answer proves by which a request was not run. Answers name no request: on a connection that
-// brought such an answer before, this may be a late second copy of that one, and the request may be running. Then it
-// proves nothing of one that may not simply run twice, and no later answer on the connection can be trusted.
+// notRunOutcome returns the outcome of a response that marks the request as not run. Responses carry no request ID.
+// On a connection that has received such a response before, this one may be a late duplicate while the request is
+// running. It then proves nothing for a request that is not safe, and later responses on the connection cannot be
+// trusted.
 func (c *conn) notRunOutcome(outgoing *upstreamRequest, reusable bool) (forkline.Outcome, *response, bool) {
 	sawBefore := c.sawNotRun
 	c.sawNotRun = true
@@ -223,17 +232,17 @@
 	return forkline.Reset, nil, false
 }
 
-// unclaimed names the outcome of an attempt that claim has stopped.
+// unwrittenOutcome returns the outcome of an attempt that mayWrite has stopped.
 func unwrittenOutcome(a *attempt) forkline.Outcome {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.aborted {
 		return forkline.Cancelled
 	}
-	return forkline.NotSent // its client has left
+	return forkline.NotSent // the client has disconnected
 }
 
-// write writes all of the text, and then looks for so long whether the connection breaks.
+// write writes text, then waits for the duration breakCheck for the connection to break.
 func write(c *conn, text []byte, breakCheck time.Duration) error {
 	if n, err := c.Write(text); n < len(text) || breakCheck <= 0 {
 		return err
@@ -245,8 +254,8 @@
 	return nil
 }
 
-// brokenOff names the outcome of an exchange that ended with an error: called off, out of time, or broken.
-// A request that was not written whole never ran, whatever stopped it.
+// errorOutcome returns the outcome of an exchange that ended with an error: aborted, timed out, or fallback if the
+// connection broke. A request that was not written completely never ran, whatever stopped it.
 func errorOutcome(a *attempt, err error, fallback forkline.Outcome) forkline.Outcome {
 	switch {
 	case a.ctx.Err() != nil:
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -13,66 +13,72 @@
 	"forkline"
 )
 
-// http.Transport would send a GET, or a POST with an Idempotency-Key, once more by itself when a reused
-// connection breaks: an attempt that the module never decided on. So the pool is our own.
+// The pool is implemented here because http.Transport retries a GET, or a POST with an Idempotency-Key, by itself
+// when a reused connection breaks. The module would not know of that attempt.
 
 const (
-	idleTimeoutShare    = 0.8 // an idle connection is retired after this share of the idle limit
-	drainGraceShare     = 0.6 // an attempt whose first byte is not out after this share of the drain grace stays in
-	defaultIdleTimeout  = 5 * time.Second
-	defaultDialTimeout  = 250 * time.Millisecond
-	minTrustedIdle      = 50 * time.Millisecond // nothing drops a connection for having been idle for less
-	defaultReuseDelay   = 10 * time.Millisecond // before a connection is used again: a second answer comes some ms behind the first
-	reusesToDoubleTrust = 32                    // reuses in a row, each after longer than is trusted, that double what is trusted
+	idleTimeoutShare   = 0.8 // an idle connection is closed after this share of the endpoint's idle timeout
+	drainGraceShare    = 0.6 // an attempt must write its first byte within this share of the drain grace
+	defaultIdleTimeout = 5 * time.Second
+	defaultDialTimeout = 250 * time.Millisecond
+	minTrustedIdle     = 50 * time.Millisecond // no peer is assumed to drop a connection idle for less
+	// defaultReuseDelay is the minimum idle time before a connection is reused: a duplicate response follows the first
+	// within a few ms.
+	defaultReuseDelay = 10 * time.Millisecond
+	// reusesToDoubleTrust is how many consecutive reuses, each after an idle time beyond trustedIdle, double trustedIdle.
+	reusesToDoubleTrust = 32
 )
 
-// endpoint is one server of the list and the idle connections to it. Its fields are guarded by upstream.mu.
+// endpoint is one listed server and the idle connections to it. Its fields are guarded by upstream.mu.
 type endpoint struct {
 	addr      string
 	startedAt float64
 	ready     bool
-	idle      []*conn // the one used last is at the end
+	idle      []*conn // the most recently used is last
 }
 
-// conn is a connection to an endpoint; it carries one request at a time.
+// conn is a connection to an endpoint. It carries one request at a time.
 type conn struct {
 	net.Conn
 	reader       *bufio.Reader
 	server       *endpoint
-	idleSince    time.Time     // idle since then
-	idleFor      time.Duration // before it was taken; 0 = it is new
+	idleSince    time.Time     // when it was last put into the pool
+	idleFor      time.Duration // idle time before the current request; 0 = a new connection
 	takenAt      time.Time
-	lastDuration time.Duration // its last request
-	brokeEarly   bool          // it broke at once under a request, before any answer
-	desynced     bool          // bytes came that can answer no request sent on it
+	lastDuration time.Duration // duration of the last request
+	brokeEarly   bool          // it broke right after a request was written, before any response
+	desynced     bool          // it received bytes that belong to no request sent on it
 
-	sawNotRun bool // it has brought an answer by which a request was not run
+	sawNotRun bool // it received a response that marked its request as not run
 }
 
-// upstream owns all connections to endpoints.
+// upstream is the pool of all connections to endpoints.
 type upstream struct {
-	maxConns         int           // connections at once
-	breakCheckTime   time.Duration // see holdTime
-	reuseDelay       time.Duration // see restTime
-	firstByteTimeout time.Duration // from the decision on an attempt to its first byte; 0 = any; the loop's
+	maxConns         int           // limit on openConns
+	breakCheckTime   time.Duration // see defaultBreakCheckTime
+	reuseDelay       time.Duration // see defaultReuseDelay
+	firstByteTimeout time.Duration // from an attempt's start to its first byte; 0 = no limit; used by the loop only
 
 	mu                       sync.Mutex
 	dialTimeout, idleTimeout time.Duration
 	endpoints                map[uint32]*endpoint
-	openConns                int           // connections, and dials under way
-	sweeper                  *time.Timer   // of the next sweep of idle connections; nil = none is due
-	trustedIdle              time.Duration // a request that must not run twice goes on no connection idle for longer
-	soundReuses              int           // reuses in a row of connections idle for longer than that, by other requests
+	openConns                int           // connections, including those being dialed
+	sweeper                  *time.Timer   // runs the next sweep of idle connections; nil = none is scheduled
+	trustedIdle              time.Duration // longest idle time after which a connection may carry an at-most-once request
+	soundReuses              int           // consecutive successful reuses after longer idle times, by other requests
 }
 
-// newUpstream makes a pool of at most so many connections.
+// newUpstream returns a pool of at most maxConns connections.
 func newUpstream(limits forkline.Limits, drainGrace float64, maxConns int) *upstream {
-	u := &upstream{maxConns: maxConns, breakCheckTime: defaultBreakCheckTime, reuseDelay: defaultReuseDelay, endpoints: map[uint32]*endpoint{}}
+	u := &upstream{
+		maxConns: maxConns, breakCheckTime: defaultBreakCheckTime, reuseDelay: defaultReuseDelay,
+		endpoints: map[uint32]*endpoint{},
+	}
 	u.configure(limits, drainGrace)
 	return u
 }
 
-// idleLimit is the time for which a connection may be idle.
+// idleTimeout returns how long a connection may stay idle in the pool.
 func idleTimeout(limits forkline.Limits) time.Duration {
 	if limits.IdleTimeout > 0 {
 		return msToDuration(idleTimeoutShare * limits.IdleTimeout)
@@ -80,8 +86,8 @@
 	return defaultIdleTimeout
 }
 
-// configure takes over what settings say of connections. The loop calls it; attempts that are out go on by what they
-// began with.
+// configure applies the settings that concern connections. It is called by the loop; attempts in flight keep the
+// settings they were started with.
 func (u *upstream) configure(limits forkline.Limits, drainGrace float64) {
 	u.firstByteTimeout = msToDuration(drainGraceShare * drainGrace)
 	u.mu.Lock()
@@ -91,16 +97,16 @@
 	if limits.ConnectTimeout > 0 {
 		u.dialTimeout = msToDuration(limits.ConnectTimeout)
 	}
-	if u.trustedIdle == previous || u.trustedIdle > u.idleTimeout { // else less was learned
+	if u.trustedIdle == previous || u.trustedIdle > u.idleTimeout { // otherwise a shorter time has been learned
 		u.trustedIdle = u.idleTimeout
 	}
-	if u.sweeper != nil && u.idleTimeout < previous && u.sweeper.Stop() { // else the sweep is about to run
+	if u.sweeper != nil && u.idleTimeout < previous && u.sweeper.Stop() { // otherwise the sweep is about to run
 		u.sweeper = time.AfterFunc(0, u.sweep)
 	}
 }
 
-// list notes where a server is and whether it wants requests. Idle connections to one that
-// does not, that moved or that started anew are of no more use.
+// updateServer records the address and state of a server. Idle connections to a server that is not ready, has moved
+// or has restarted are closed.
 func (u *upstream) updateServer(id uint32, addr string, startedAt float64, state forkline.ServerState) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -122,7 +128,7 @@
 	}
 }
 
-// closeAll closes the idle connections to one server.
+// closeServerIdle closes the idle connections to one server.
 func (u *upstream) closeServerIdle(id uint32) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -139,14 +145,14 @@
 	e.idle = nil
 }
 
-// find returns a server's endpoint, nil if it is not listed.
+// find returns the endpoint of a server, or nil if the server is not listed.
 func (u *upstream) find(id uint32) *endpoint {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return u.endpoints[id]
 }
 
-// do carries one attempt out and tells how it ended, as the module names it.
+// do carries out one attempt and returns its outcome in the module's terms, with the response if it is final.
 func (u *upstream) do(a *attempt, e *endpoint, outgoing *upstreamRequest, deadline time.Time) (forkline.Outcome, *response) {
 	defer a.cancel()
 	for {
@@ -168,7 +174,8 @@
 		} else {
 			u.putIdle(c)
 		}
-		// An idle connection that broke, or was spoilt, before the request was whole has carried no attempt: on to the next.
+		// An idle connection that broke or was desynchronized before the request was written completely has carried
+		// no attempt, so the next connection is tried.
 		if outcome != forkline.ConnectFailed || !c.brokeEarly && !c.desynced || c.idleFor == 0 {
 			return outcome, resp
 		}
@@ -177,7 +184,7 @@
 
 var errPoolExhausted = errors.New("the pool is at its limit and none of its connections is idle")
 
-// connect takes an idle connection that is still open, waits out the rest of one that was used just now, or dials.
+// connect returns an idle connection that is still open, after waiting for its reuse delay, or dials a new one.
 func (u *upstream) connect(a *attempt, e *endpoint, deadline time.Time, atMostOnce bool) (*conn, error) {
 	for {
 		c, wait := u.takeIdle(e, deadline, atMostOnce)
@@ -213,13 +220,17 @@
 	return &conn{Conn: raw, reader: bufio.NewReader(raw), server: e, takenAt: time.Now()}, nil
 }
 
-// take pops an idle connection and tells how long it has to rest yet: on one used just now a second answer, which an
-// endpoint in trouble may send a little behind the first, would be taken for the next client's. Best is the one used
-// last of those that have rested, so that the others can grow old. Failing that it is the one that will have rested
-// first, if that is in time and no longer than its last request took: a new one costs its endpoint work, and stays
-// open, but where answers come at once a wait would look like a server that says nothing. One that was idle for longer
-// than a request that must not run twice can trust stays for the others, which may be sent again, and so does one on
-// which an answer that such a request was not run would prove nothing.
+// takeIdle removes an idle connection from the pool and returns it with the remainder of its reuse delay. The delay exists
+// because an endpoint in trouble may send a duplicate response shortly after the first, which would be taken for the
+// response to the next request.
+//
+// takeIdle prefers the most recently used of the connections whose delay has passed, so that the others can reach
+// their idle timeout. Otherwise it takes the one whose delay ends first, provided that it ends before the deadline
+// and within the duration of that connection's last request. A new connection costs the endpoint work and remains
+// open, but where responses are immediate, waiting longer would look like an unresponsive server.
+//
+// An at-most-once request gets no connection that has been idle for longer than trustedIdle, and none on which a "not
+// run" response would prove nothing. These are left to requests that may be sent again.
 func (u *upstream) takeIdle(e *endpoint, deadline time.Time, atMostOnce bool) (c *conn, wait time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -232,7 +243,7 @@
 	if atMostOnce {
 		maxIdle = min(maxIdle, u.trustedIdle)
 	}
-	if n >= 0 && now.Sub(e.idle[n].idleSince) > u.idleTimeout { // so are all that are older
+	if n >= 0 && now.Sub(e.idle[n].idleSince) > u.idleTimeout { // so have all older ones
 		for ; n >= 0; n-- {
 			u.closeOldest(e)
 		}
@@ -258,7 +269,7 @@
 	return c, wait
 }
 
-// pause waits for so long, or for the context's end, which is its error.
+// sleep waits for the duration d. If the context ends first, it returns the context's error.
 func sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return nil
@@ -273,9 +284,10 @@
 	}
 }
 
-// reused learns from a connection that was idle. Endpoints, or what lies on the way, may drop idle connections long
-// before the limit in the settings and without a sign: a request written to one ends as a reset, and one that must
-// not run twice has failed for good. What is trusted goes down at once, and up as other requests fare well.
+// recordReuse adapts trustedIdle to the result of reusing an idle connection. Endpoints, or devices on the path, may
+// drop idle connections silently and long before the configured timeout. A request written to such a connection ends
+// in a reset, which is a final failure for an at-most-once request. Therefore trustedIdle is lowered at once, and
+// raised only after several successful reuses by other requests.
 func (u *upstream) recordReuse(idleFor time.Duration, brokeEarly bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -289,7 +301,8 @@
 	}
 }
 
-// acquire counts one more connection; at the limit, the one that was idle longest is evicted.
+// acquireSlot counts one more connection. At the limit it closes the connection that has been idle longest; it
+// returns false if none is idle.
 func (u *upstream) acquireSlot() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -316,7 +329,7 @@
 	u.mu.Unlock()
 }
 
-// put keeps a connection for the next request, and has idle ones looked after while there are any.
+// putIdle returns a connection to the pool and schedules the sweep of idle connections if necessary.
 func (u *upstream) putIdle(c *conn) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -333,7 +346,7 @@
 	}
 }
 
-// sweep closes the connections that have been idle for too long and comes back when the next one will have been.
+// sweep closes the connections whose idle timeout has passed and schedules itself for the next one.
 func (u *upstream) sweep() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -353,7 +366,7 @@
 	}
 }
 
-// closeOldest closes the connection of an endpoint that has been idle longest.
+// closeOldest closes the connection to an endpoint that has been idle longest.
 func (u *upstream) closeOldest(e *endpoint) {
 	e.idle[0].Close()
 	e.idle = slices.Delete(e.idle, 0, 1)
