--- a/internal/sidecar/downstream.go
+++ b/internal/sidecar/downstream.go
@@ -17,51 +17,57 @@
 )
 
 const (
-	writeTimeout           = 3 * time.Second // for an answer to be taken
-	lingerTimeout          = 500 * time.Millisecond
-	lingerBytes            = 256 << 10 // read and dropped of a client that still sends, for an error to reach it
-	acceptRetryDelay       = 5 * time.Millisecond
-	drainPollInterval      = 5 * time.Millisecond
-	evictionHeadroom       = 8                      // so many below the limit, quiet connections start to be evicted
-	defaultSlowRequestTime = 500 * time.Millisecond // a request that has been coming for so long is not sent in earnest
+	writeTimeout  = 3 * time.Second // limit for writing a response
+	lingerTimeout = 500 * time.Millisecond
+	// lingerBytes is how much is read and discarded from a client that is still sending, so that an error response
+	// reaches it.
+	lingerBytes       = 256 << 10
+	acceptRetryDelay  = 5 * time.Millisecond
+	drainPollInterval = 5 * time.Millisecond
+	evictionHeadroom  = 8 // idle connections are evicted when fewer free slots than this remain
+	// defaultSlowRequestTime is how long a request may take to arrive before its connection may be evicted as slow.
+	defaultSlowRequestTime = 500 * time.Millisecond
 )
 
-// downstreamConn is one connection of a client. Its other fields are guarded by downstream.mu.
+// downstreamConn is a connection from a client. The fields below reader are guarded by downstream.mu.
 type downstreamConn struct {
 	net.Conn
 	reader         *bufio.Reader
-	queue          *list.List // that it is in; nil while a request is open
+	queue          *list.List // list that holds it; nil while a request is open
 	element        *list.Element
-	listedSince    time.Time // when it came there
-	closeRequested bool      // to give way, if no request has come meanwhile
-	evicted        bool      // it was too slow: what comes is no request any more
+	listedSince    time.Time // when it was added to that list
+	closeRequested bool      // to be closed unless a request arrives first
+	evicted        bool      // closed because it was too slow; further input is ignored
 }
 
-// downstream holds the clients' connections. Near the limit those without an open request are evicted, the one quiet
-// longest first, and then slow ones: clients that hold connections for nothing, or send slowly, keep none out. One on
-// which a request has begun to come is not, as the request may be whole at any moment and is taken then: a new
-// connection waits until it is or has proved slow, and those behind it wait in the listener's backlog, in their order.
-// Were they shut instead, the clients that come again fastest would get all the room.
+// downstream holds the connections of clients. Near the limit it evicts connections without an open request, the one
+// idle longest first, and then slow ones, so that clients which hold idle connections or send slowly cannot keep
+// others out.
+//
+// A connection that is receiving a request is not evicted, because the request may become complete and be accepted at
+// any instant. A new connection waits until that request is complete or has proved slow, and later ones wait in the
+// listener's backlog, in order. If they were closed instead, the clients that reconnect fastest would get all slots.
 type downstream struct {
 	maxConns        int
-	slowRequestTime time.Duration // see slowTime
-	acceptDone      chan struct{} // closed when none is accepted any more
-	changed         chan struct{} // filled when a connection has moved or ended
+	slowRequestTime time.Duration // see defaultSlowRequestTime
+	acceptDone      chan struct{} // closed when no more connections are accepted
+	changed         chan struct{} // signaled when a connection has moved to another list or ended
 	mu              sync.Mutex
 	openConns       int
-	closing         int        // of those, evicted but not closed yet
-	idle            *list.List // those without a request, the one quiet longest first
-	receiving       *list.List // those whose request has begun to come, the first one first
+	closing         int        // evicted connections that are not closed yet; included in openConns
+	idle            *list.List // connections without a request, the one idle longest first
+	receiving       *list.List // connections that are receiving a request, the earliest first
 }
 
 func newDownstream(maxConns int) *downstream {
 	return &downstream{
-		maxConns: maxConns, slowRequestTime: defaultSlowRequestTime, acceptDone: make(chan struct{}), changed: make(chan struct{}, 1),
+		maxConns: maxConns, slowRequestTime: defaultSlowRequestTime,
+		acceptDone: make(chan struct{}), changed: make(chan struct{}, 1),
 		idle: list.New(), receiving: list.New(),
 	}
 }
 
-// serve accepts connections until the listener is closed; each is served by talk.
+// serve accepts connections until the listener is closed. Each one is served by serveConn in its own goroutine.
 func (cs *downstream) serve(ln net.Listener, serveConn func(*downstreamConn)) error {
 	defer close(cs.acceptDone)
 	for {
@@ -69,7 +75,7 @@
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case err != nil: // no descriptor is left, or the client has gone already
+		case err != nil: // no file descriptor is free, or the client has already disconnected
 			time.Sleep(acceptRetryDelay)
 			continue
 		}
@@ -82,8 +88,8 @@
 	}
 }
 
-// add takes a connection in, once there is room for it. Where all have open requests it is closed, which its client
-// can tell from a lost request.
+// admit registers a new connection once a slot is free. If all connections have open requests, it closes the new one,
+// which its client can tell apart from a lost request.
 func (cs *downstream) admit(conn net.Conn) *downstreamConn {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
@@ -109,8 +115,8 @@
 	return c
 }
 
-// untilRoom sees to it that a connection is being evicted. It tells when to look again if nothing changes by then, and
-// whether there is one that can be evicted at all.
+// ensureEviction makes sure that a connection is being evicted. It returns how long to wait before checking again and
+// whether any connection can be evicted at all.
 func (cs *downstream) ensureEviction() (time.Duration, bool) {
 	if cs.closing > 0 || cs.evict() {
 		return cs.slowRequestTime, true
@@ -121,7 +127,7 @@
 	return 0, false
 }
 
-// evict ends the connection that is needed least, if there is one.
+// evict starts to close the connection that is needed least. It returns false if no connection can be evicted.
 func (cs *downstream) evict() bool {
 	if e := cs.idle.Front(); e != nil {
 		cs.requestClose(e.Value.(*downstreamConn))
@@ -138,7 +144,8 @@
 	return false
 }
 
-// ask has the goroutine of a quiet connection close it. Only that goroutine can tell that no request has come.
+// requestClose has the goroutine of an idle connection close it. Only that goroutine can tell that no request has
+// arrived.
 func (cs *downstream) requestClose(c *downstreamConn) {
 	cs.move(c, nil)
 	c.closeRequested = true
@@ -146,7 +153,7 @@
 	c.SetReadDeadline(time.Unix(1, 0))
 }
 
-// put moves a connection to the end of a list, or out of all.
+// move moves a connection to the end of a list, or removes it from its list if to is nil.
 func (cs *downstream) move(c *downstreamConn, to *list.List) {
 	if c.queue != nil {
 		c.queue.Remove(c.element)
@@ -171,16 +178,16 @@
 	cs.move(c, nil)
 }
 
-// comes waits until a request begins to come and tells whether one does by then, or until the connection is asked to
-// give way. Bytes that are there when the wait ends still count, however late this goroutine gets to look.
+// awaitRequest waits for the first byte of a request and reports whether it arrived before the deadline and before a
+// requested close. Bytes that have arrived when the wait ends still count, however late this goroutine is scheduled.
 func (cs *downstream) awaitRequest(c *downstreamConn, deadline time.Time) bool {
 	c.SetReadDeadline(deadline)
-	if cs.isCloseRequested(c) { // before that deadline was set
+	if cs.isCloseRequested(c) { // requested before the deadline was set
 		c.SetReadDeadline(time.Unix(1, 0))
 	}
 	_, err := c.reader.Peek(1)
 	if errors.Is(err, os.ErrDeadlineExceeded) && c.hasUnread() {
-		c.SetReadDeadline(time.Time{}) // no wait, as they are there
+		c.SetReadDeadline(time.Time{}) // does not block, as there are unread bytes
 		_, err = c.reader.Peek(1)
 	}
 	return err == nil && cs.moveUnlessEvicted(c, cs.receiving)
@@ -192,7 +199,8 @@
 	return c.closeRequested
 }
 
-// begins marks a connection as one with an open request, ends as a quiet one. Both tell whether it may go on.
+// beginRequest marks a connection as having an open request, endRequest marks it as idle. Both report whether the
+// connection can still be used.
 func (cs *downstream) beginRequest(c *downstreamConn) bool { return cs.moveUnlessEvicted(c, nil) }
 func (cs *downstream) endRequest(c *downstreamConn) bool   { return cs.moveUnlessEvicted(c, cs.idle) }
 
@@ -209,11 +217,12 @@
 	return !c.evicted
 }
 
-// drain closes what is quiet, until nothing is left or the time is up. What has begun to come may still become a
-// request, and is answered. A connection that still waits for room must not hold the others up.
+// drain closes idle connections until none are left or the deadline passes. A connection that is receiving a request
+// is kept, as the request will be accepted and answered. Draining does not wait for a connection that has not been
+// admitted yet.
 func (cs *downstream) drain(deadline time.Time) {
 	for time.Now().Before(deadline) {
-		acceptEnded := false // are counted: one that is accepted but not yet counted is not missed
+		acceptEnded := false // read before openConns, so that a connection accepted but not yet counted is not missed
 		select {
 		case <-cs.acceptDone:
 			acceptEnded = true
@@ -232,15 +241,15 @@
 	}
 }
 
-// unread looks, without waiting, whether bytes have come that were not read yet.
+// hasUnread reports, without blocking, whether there are bytes that have not been read.
 func (c *downstreamConn) hasUnread() bool {
 	n, err := peek(c.Conn)
 	return err == nil && n > 0
 }
 
-// leaves waits until the client has left, and tells that; it has not when a read deadline ends the wait. What comes
-// behind its request stays in the reader, as far as there is room. An end behind more than that is no end of the
-// stream yet: only a poll shows it.
+// awaitDisconnect waits until the client disconnects and returns true, or false if a read deadline ends the wait.
+// Bytes after the request remain in the reader as long as its buffer has space. If more bytes follow, the end of the
+// stream cannot be reached by reading; only a poll detects it.
 func (c *downstreamConn) awaitDisconnect() bool {
 	for n := c.reader.Buffered() + 1; n <= c.reader.Size(); n = c.reader.Buffered() + 1 {
 		if _, err := c.reader.Peek(n); err != nil {
@@ -256,8 +265,8 @@
 	return err == nil && closed
 }
 
-// hasLeft looks, without waiting, whether the caller has left, as leaves would tell it. Any goroutine may ask, so that
-// a leaving counts before the connection's own goroutine has had its turn.
+// disconnected reports, without blocking, whether the client has disconnected. Any goroutine may call it, so that a
+// disconnect takes effect before the connection's own goroutine is scheduled.
 func (c *downstreamConn) disconnected() bool {
 	n, err := peek(c.Conn)
 	switch {
@@ -266,7 +275,7 @@
 	case err != nil || n == 0:
 		return true
 	}
-	raw, err := rawConn(c.Conn) // bytes behind the request hide the end from a read
+	raw, err := rawConn(c.Conn) // unread bytes after the request hide the end of the stream from a read
 	if err != nil {
 		return true
 	}
@@ -275,7 +284,8 @@
 	return err != nil || closed
 }
 
-// answer writes a final answer. The length goes first, so that a body that breaks off shows.
+// writeResponse writes a final response. The Content-Length is always sent, so that the client can detect a truncated
+// body.
 func (c *downstreamConn) writeResponse(r *response, closeAfter bool) error {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n", r.status, http.StatusText(r.status), len(r.body))
@@ -292,15 +302,16 @@
 	return err
 }
 
-// turnAway answers what cannot be taken and ends the connection: nothing behind it can be read for sure.
+// reject sends an error response and closes the connection, since the bytes after an invalid request cannot be
+// interpreted.
 func (c *downstreamConn) reject(status int, reason string) {
 	if c.writeResponse(&response{status: status, body: []byte(reason + "\n")}, true) == nil {
 		c.lingerClose()
 	}
 }
 
-// finish ends a connection behind its last answer. What its client still sends is dropped for a while, as a close with
-// bytes unread is a reset, which could overtake the answer.
+// lingerClose shuts down sending after the last response, so that the connection can be closed. Input is read and
+// discarded for a while, because closing a socket with unread bytes sends a reset, which could overtake the response.
 func (c *downstreamConn) lingerClose() {
 	if tcp, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		tcp.CloseWrite()
--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -18,28 +18,29 @@
 )
 
 const (
-	defaultRequestTimeout = 2200 * time.Millisecond // a connection may be quiet for so long, and a request take to come whole
+	// defaultRequestTimeout limits the idle time of a connection, and the time to receive a complete request.
+	defaultRequestTimeout = 2200 * time.Millisecond
 	statusRefused         = http.StatusServiceUnavailable
 	statusFailed          = http.StatusBadGateway
 
-	defaultDrainAcceptTime = 600 * time.Millisecond  // new connections come for up to 0.4 s after SIGTERM
-	drainFinishTime        = 1300 * time.Millisecond // for what was taken, from the end of taking until the rest is given up
-	soloFinishTime         = 500 * time.Millisecond  // instead, where no other sidecar could take what comes in between
-	finalWriteTime         = 150 * time.Millisecond  // for the answers that are given then
+	defaultDrainAcceptTime = 600 * time.Millisecond  // new connections arrive for up to 0.4 s after SIGTERM
+	drainFinishTime        = 1300 * time.Millisecond // for calls in flight, from closing connections to aborting the rest
+	soloFinishTime         = 500 * time.Millisecond  // the same, where no other sidecar could take the calls in between
+	finalWriteTime         = 150 * time.Millisecond  // for writing the responses of aborted calls
 )
 
-// front takes requests from callers and answers them.
+// front accepts requests from clients and answers them.
 type front struct {
 	loop               *loop
 	index              atomic.Pointer[settingsIndex]
 	downstream         *downstream
-	draining           atomic.Bool   // not ready any more
-	closeAfterResponse atomic.Bool   // every answer closes its connection
-	drainAcceptTime    time.Duration // from SIGTERM until no new connection is taken
-	requestTimeout     time.Duration // see quietTime
+	draining           atomic.Bool   // reports not ready
+	closeAfterResponse atomic.Bool   // every response closes its connection
+	drainAcceptTime    time.Duration // from SIGTERM until the listener is closed
+	requestTimeout     time.Duration // see defaultRequestTimeout
 }
 
-// tables are the settings as requests meet them: by names. They are replaced whole.
+// settingsIndex is an immutable copy of the settings with classes and tenants indexed by name. A reload replaces it.
 type settingsIndex struct {
 	settings forkline.Settings
 	classes  map[string]uint16
@@ -57,7 +58,8 @@
 	return index
 }
 
-// class is the class of a name; of a request that cannot be of it, it tells why.
+// resolveClass returns the class with the given name. If the class does not exist or does not permit the request, it
+// returns an HTTP status and the reason.
 func (s *settingsIndex) resolveClass(name, method string, hasKey bool) (c *forkline.Class, status int, reason string) {
 	index, ok := s.classes[name]
 	if !ok {
@@ -77,12 +79,13 @@
 	return c, 0, ""
 }
 
-// place gives a call what the tables say of its class and tenant, and its time less what has to be held back of it.
+// apply sets the class, tenant, deadline and effect of a request. The time to answer is the client's timeout less the
+// margin that is reserved.
 func (s *settingsIndex) apply(request *call, m *margin) {
 	request.index, request.event.Class = s, s.classes[request.class]
 	tenant, ok := s.tenants[request.tenant]
 	if !ok {
-		tenant = uint16(len(s.tenants)) // one without a quota
+		tenant = uint16(len(s.tenants)) // an unknown tenant, without a quota
 	}
 	request.event.Tenant = tenant
 	c := &s.settings.Classes[request.event.Class]
@@ -92,17 +95,17 @@
 	request.safe, request.outgoing.atMostOnce = c.Effect == forkline.Safe, c.Effect == forkline.Unsafe
 }
 
-// newFront makes a front for at most so many callers' connections.
+// newFront returns a front for at most maxConns client connections.
 func newFront(l *loop, settings *forkline.Settings, maxConns int) *front {
 	f := &front{loop: l, drainAcceptTime: defaultDrainAcceptTime, requestTimeout: defaultRequestTimeout, downstream: newDownstream(maxConns)}
 	f.index.Store(newSettingsIndex(settings))
 	return f
 }
 
-// serve takes requests until the listener is closed.
+// serve accepts connections until the listener is closed.
 func (f *front) serve(ln net.Listener) error { return f.downstream.serve(ln, f.serveConn) }
 
-// talk serves one connection: a request, its answer, and so on, while both sides keep it.
+// serveConn serves the requests of one connection in turn, until either side closes it.
 func (f *front) serveConn(c *downstreamConn) {
 	for isFirst, keepAlive := true, true; keepAlive; isFirst = false {
 		readBy := time.Now().Add(f.requestTimeout)
@@ -119,7 +122,7 @@
 			return
 		}
 		keepAlive = m.keepAlive() && !f.closeAfterResponse.Load()
-		if m.length == lengthUnspecified { // of a request: none
+		if m.length == lengthUnspecified { // a request without a length has no body
 			m.length = 0
 		}
 		if m.startLine == "GET /-/ready HTTP/1.1" {
@@ -135,8 +138,8 @@
 			return
 		}
 		if expectsContinue {
-			c.SetWriteDeadline(time.Now().Add(writeTimeout))   // that of the answer before may have passed
-			io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // one that fails shows in the body
+			c.SetWriteDeadline(time.Now().Add(writeTimeout))   // the deadline of the previous response may have passed
+			io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // a write error will show when reading the body
 		}
 		if request.outgoing.body, err = readBody(c.reader, m.length); err != nil {
 			f.rejectUnreadable(c, err)
@@ -151,7 +154,7 @@
 	c.lingerClose()
 }
 
-// complain answers what cannot be read as a request. One that falls silent or breaks off is just closed.
+// rejectUnreadable answers input that is not a valid request. A connection that times out or breaks is just closed.
 func (f *front) rejectUnreadable(c *downstreamConn, err error) {
 	_, isNetError := err.(net.Error)
 	switch {
@@ -162,12 +165,14 @@
 	}
 }
 
-// have gets the final answer to a request that has come whole; none if its caller leaves before.
+// awaitResponse passes a complete request to the loop and waits for the final response. It returns false if the
+// client disconnects first.
 func (f *front) awaitResponse(c *downstreamConn, request *call) (response, bool) {
 	responses, decidedAt := make(chan response, 1), time.Time{}
 	request.respond = func(r response) {
 		decidedAt = time.Now()
-		c.SetReadDeadline(time.Unix(1, 0)) // ends the wait below; behind the answer, it could end the next request's reading
+		// Unblocks awaitDisconnect. If it were set after the response is sent, it could interrupt reading the next request.
+		c.SetReadDeadline(time.Unix(1, 0))
 		responses <- r
 	}
 	arrivedAt := f.loop.clockMS(time.Now())
@@ -196,7 +201,8 @@
 	}
 }
 
-// ready tells by a status whether requests are welcome: the loop runs, has a list to send by and is not ending.
+// readyStatus returns the HTTP status of the readiness check: the sidecar is ready if the loop runs, a listed server
+// is ready and the sidecar is not draining.
 func (f *front) readyStatus() int {
 	readyServers := 0
 	f.loop.postAndWait(func() { readyServers = f.loop.readyServers })
@@ -206,16 +212,18 @@
 	return http.StatusOK
 }
 
-// single are the headers that a request is understood by; with two of one kind it could be read in two ways.
+// singleValueHeaders are the headers that the sidecar interprets. A request that repeats one of them is ambiguous and
+// rejected.
 var singleValueHeaders = []string{"Host", "X-Request-Id", "X-Class", "X-Tenant", "X-Deadline", "Idempotency-Key", "Expect"}
 
-// parse checks the head of a request; of one that cannot be taken it tells why.
+// parse validates the head of a request and returns the call. If the request is invalid, it returns an HTTP status
+// and the reason.
 func (f *front) parse(m message) (request *call, status int, reason string) {
 	method, rest, _ := strings.Cut(m.startLine, " ")
 	uri, version, _ := strings.Cut(rest, " ")
 	path, _, _ := strings.Cut(strings.TrimPrefix(uri, "/"), "?")
 	segment, _, _ := strings.Cut(path, "/")
-	decoded, _ := url.PathUnescape(segment) // a name may have characters that a path has in code only
+	decoded, _ := url.PathUnescape(segment) // a class name may contain characters that are escaped in a path
 	if version != "HTTP/1.1" && version != "HTTP/1.0" || !strings.HasPrefix(uri, "/") || hasControl(uri) {
 		return nil, http.StatusBadRequest, "the request line cannot be read"
 	}
@@ -268,9 +276,9 @@
 	return request, 0, ""
 }
 
-// finishing is how long before the end connections are closed. Callers then go to the other sidecars of the tier, so
-// that the slow calls have time to end. A sidecar that is alone goes on: what it does not take is lost for sure until
-// it has started again, and most calls that it takes are still answered.
+// finishTime returns how long before the end of a drain connections are closed. Clients then move to other sidecars
+// of the tier, which leaves slow calls time to finish. A sidecar without peers continues to accept calls for longer:
+// a call it does not accept is certainly lost until the restart, while most calls it accepts are still answered.
 func (f *front) finishTime() time.Duration {
 	if f.index.Load().settings.Copies > 1 {
 		return drainFinishTime
@@ -278,12 +286,13 @@
 	return soloFinishTime
 }
 
-// drain ends the front in order: it goes on taking requests while new connections may come, and on those that it has
-// for as long as what comes there can be finished; then it finishes what was taken. What is left at last is given up.
+// drain shuts the front down gracefully. It accepts requests on new connections while these may still arrive, then on
+// existing connections as long as there is time to finish them, and then waits for the calls in flight. Calls that
+// remain at the limit are aborted.
 func (f *front) drain(ln net.Listener, limit time.Duration) {
 	startedAt := time.Now()
 	f.draining.Store(true)
-	time.Sleep(min(f.drainAcceptTime, limit)) // with short deadlines SIGKILL comes soon after
+	time.Sleep(min(f.drainAcceptTime, limit)) // if deadlines are short, SIGKILL follows soon
 	ln.Close()
 	time.Sleep(time.Until(startedAt.Add(limit - f.finishTime())))
 	f.closeAfterResponse.Store(true)
--- a/internal/sidecar/message.go
+++ b/internal/sidecar/message.go
@@ -13,15 +13,15 @@
 	"strings"
 )
 
-// Messages are read here and not by net/http, which believes more than a peer should be believed: it drops a
-// Content-Length beside a Transfer-Encoding without a trace, so that a request can hide in another's body, reads an
-// answer's head of any size, and takes an interim answer for the final one.
+// Messages are parsed here instead of by net/http, which trusts its peers too much for a proxy. It silently drops a
+// Content-Length next to a Transfer-Encoding, which allows request smuggling, it reads response heads of any size,
+// and it can take an interim response for the final one.
 
 const (
-	maxHeadBytes        = 16 << 10 // bytes of a first line and the headers; ten times what callers and endpoints send
-	maxBodyBytes        = 64 << 10 // bytes of a body, by the protocol
-	maxInterimResponses = 16       // interim answers before the final one
-	initialBodyCapacity = 4 << 10  // room for a body to begin with: what is announced but never comes costs no more
+	maxHeadBytes        = 16 << 10 // bytes of the start line and headers; ten times what clients and endpoints send
+	maxBodyBytes        = 64 << 10 // limit set by the protocol
+	maxInterimResponses = 16       // interim (1xx) responses accepted before the final one
+	initialBodyCapacity = 4 << 10  // bytes; body buffers grow by it, so an announced body that never arrives costs no more
 )
 
 var (
@@ -30,20 +30,20 @@
 	errTooLarge      = errors.New("the message is over the limit")
 )
 
-// How long a body is, where that is no number.
+// Special values of message.length.
 const (
 	lengthChunked     = -1
 	lengthUnspecified = -2
 )
 
-// message is the head of a request or an answer.
+// message is the head of a request or response.
 type message struct {
 	startLine string // request line or status line
 	header    http.Header
-	length    int64 // of the body, or chunked or untold
+	length    int64 // of the body in bytes, or lengthChunked or lengthUnspecified
 }
 
-// readMessage reads a head and checks its form, without reading on into the body.
+// readMessage reads and validates the head of a message. It consumes no byte of the body.
 func readMessage(r *bufio.Reader) (message, error) {
 	text, err := readUntilBlankLine(r)
 	if err != nil {
@@ -68,7 +68,7 @@
 	return m, err
 }
 
-// readLines reads up to and with an empty line.
+// readUntilBlankLine reads up to and including the next empty line.
 func readUntilBlankLine(r *bufio.Reader) ([]byte, error) {
 	var text []byte
 	for lineStart := 0; ; {
@@ -93,7 +93,7 @@
 	return strings.ContainsFunc(s, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f })
 }
 
-// bodyLength is what the headers say of the body's length. What can be read in two ways is an error.
+// bodyLength returns the body length that the headers specify. Ambiguous headers are an error.
 func bodyLength(h http.Header) (int64, error) {
 	coding, length := h["Transfer-Encoding"], h["Content-Length"]
 	switch {
@@ -111,7 +111,7 @@
 	return int64(n), nil
 }
 
-// readBody reads a body whole. One that is announced to be too long is not begun.
+// readBody reads a complete body. It reads nothing if the announced length exceeds the limit.
 func readBody(r *bufio.Reader, length int64) ([]byte, error) {
 	if length > maxBodyBytes {
 		return nil, errTooLarge
@@ -122,7 +122,7 @@
 			err = errTooLarge
 		}
 		if err == nil {
-			_, err = readUntilBlankLine(r) // trailers, which nobody asked for
+			_, err = readUntilBlankLine(r) // discard trailers
 		}
 		return body, err
 	}
@@ -140,8 +140,8 @@
 	return body, nil
 }
 
-// readAnswer reads an endpoint's final answer whole and tells its status. An answer that does not tell its length
-// may have been cut off: it is none.
+// readFinalResponse reads the complete final response of an endpoint. A response without a stated length is an error,
+// since truncation could not be detected.
 func readFinalResponse(r *bufio.Reader) (status int, m message, body []byte, err error) {
 	for range maxInterimResponses {
 		if m, err = readMessage(r); err != nil {
@@ -168,12 +168,12 @@
 	return 0, m, nil, errTooLarge
 }
 
-// lasts tells whether the peer keeps the connection open behind this message.
+// keepAlive reports whether the peer keeps the connection open after this message.
 func (m *message) keepAlive() bool {
 	return !strings.Contains(m.startLine, "HTTP/1.0") && !m.hasToken("Connection", "close")
 }
 
-// lists tells whether a header that holds a list names a token.
+// hasToken reports whether a comma-separated header contains a token.
 func (m *message) hasToken(name, token string) bool {
 	for _, v := range m.header[name] {
 		for t := range strings.SplitSeq(v, ",") {
@@ -185,11 +185,11 @@
 	return false
 }
 
-// hopByHop are the headers that concern one connection only (RFC 9110, 7.6.1).
+// hopByHopHeaders are the headers that apply to a single connection (RFC 9110, 7.6.1).
 var hopByHopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Expect", "Content-Length"}
 
-// endToEnd takes those out of the headers, and the ones that Connection names.
+// stripHopByHop removes these headers, and those named by Connection, and returns h.
 func stripHopByHop(h http.Header) http.Header {
 	for _, v := range h["Connection"] {
 		for name := range strings.SplitSeq(v, ",") {
