--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -22,8 +22,8 @@
 )
 
 const (
-	defaultCachedListDelay = time.Second // after which a new process makes do with the list that it was started with
-	maxObjectBytes         = 8 << 20     // bytes of one object of a watch
+	defaultCachedListDelay = time.Second // how long a new process waits for discovery before it uses the initial list
+	maxObjectBytes         = 8 << 20     // limit for one JSON object of a watch, in bytes
 )
 
 // List is a message of discovery: a full list or changes to it.
@@ -66,7 +66,7 @@
 	return l, nil
 }
 
-// changed is a list with changes carried out.
+// merge returns the full list that results from applying the changes in delta to l.
 func (l List) merge(delta List) List {
 	merged := List{Rev: delta.Rev, Full: true}
 	targets := slices.Concat(l.Targets, delta.Targets)
@@ -82,13 +82,13 @@
 	return merged
 }
 
-// directory gives servers their ids. A uid hashes to the same id at every sidecar, as the module's share-out
-// of servers over copies needs; only of two that collide, one gets another id.
+// directory assigns IDs to servers. The ID is a hash of the UID and thus the same at every sidecar, as the assignment
+// of server subsets to copies requires. Only if two UIDs collide does one of them get another ID.
 type directory struct {
 	zones, kinds []string
 	ids          map[string]uint32
 	uids         map[uint32]string
-	targets      map[uint32]Target // last, of each server that is listed
+	targets      map[uint32]Target // last known entry of each listed server
 }
 
 func newDirectory(zones, kinds []string) *directory {
@@ -109,7 +109,8 @@
 	return id
 }
 
-// entry turns a line of the list into the module's. A zone that the settings do not name is nobody's own.
+// entry converts a target to the module's format. A zone that the settings do not name gets a number that no sidecar
+// has as its own zone.
 func (d *directory) entry(t *Target) forkline.ServerEntry {
 	zone, kind := slices.Index(d.zones, t.Zone), slices.Index(d.kinds, t.Kind)
 	if zone < 0 {
@@ -123,7 +124,7 @@
 	}
 }
 
-// forget drops servers that no list names any more: uids come and go for as long as a sidecar runs.
+// prune forgets servers that are no longer listed, as UIDs come and go for as long as a sidecar runs.
 func (d *directory) prune(isListed func(id uint32) bool) {
 	for uid, id := range d.ids {
 		if !isListed(id) {
@@ -134,36 +135,36 @@
 	}
 }
 
-// discovery makes the calls that a listwatch.Watcher asks for and keeps its time. Where the list is asked for, the
-// module says when to call; where it is pushed, the Watcher does.
+// discovery makes the calls that a listwatch.Watcher requests and runs its timer. If the list is polled, the module
+// decides when to call; if it is pushed, the Watcher does.
 type discovery struct {
 	policy     listwatch.Policy
-	onList     func(List)                                      // a list or a change came
-	onFailed   func()                                          // the latest call failed, is overdue, or its watch broke
-	onAnswered func()                                          // a call was answered, maybe with no list; nil = nobody wants to know
-	dial       func(context.Context, string) (net.Conn, error) // nil = over TCP
-	random     func() float64                                  // the next number in [0, 1); nil = any
+	onList     func(List)                                      // receives each list or list change
+	onFailed   func()                                          // called when the latest call failed or is overdue, or its watch broke
+	onAnswered func()                                          // called when a call is answered, even without a list; may be nil
+	dial       func(context.Context, string) (net.Conn, error) // nil = dial TCP
+	random     func() float64                                  // returns numbers in [0, 1); nil = rand.Float64
 
 	mu       sync.Mutex
 	addr     string
-	rev      int64 // version of the list held
+	rev      int64 // version of the last received list
 	baseCtx  context.Context
 	start    time.Time
 	watcher  *listwatch.Watcher
 	actions  []listwatch.Action
-	calls    map[int]*watchCall // those under way
-	lastCall *watchCall         // the last one that was begun
-	timer    *time.Timer        // for the Watcher's next tick
+	calls    map[int]*watchCall // calls in flight, including the open watch
+	lastCall *watchCall         // the call that was started last
+	timer    *time.Timer        // fires the Watcher's next tick
 }
 
-// watchCall is one call, and its watch once it is answered.
+// watchCall is one call to discovery, which becomes a watch once it is answered.
 type watchCall struct {
 	number int
 	cancel func()
-	done   chan struct{} // closed when it is over
+	done   chan struct{} // closed when the call has ended
 }
 
-// move has the next watches made at another address and tells whether it is one.
+// move changes the address for subsequent calls and reports whether it differs from the old one.
 func (d *discovery) move(addr string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -174,7 +175,7 @@
 	return moved
 }
 
-// follow has a pushed list watched until ctx ends.
+// follow keeps a pushed list watched until ctx ends.
 func (d *discovery) follow(ctx context.Context) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -182,7 +183,7 @@
 	d.handle(listwatch.Event{Kind: listwatch.EvStart})
 }
 
-// once has the list watched, unless it is, and waits until the call and its watch are over.
+// poll starts a call unless the list is being watched, and waits until the call and its watch have ended.
 func (d *discovery) poll(ctx context.Context) {
 	d.mu.Lock()
 	d.baseCtx = ctx
@@ -195,7 +196,7 @@
 	}
 }
 
-// handle gives the Watcher an event and carries its actions out. It needs the mutex.
+// handle passes an event to the Watcher and carries out the resulting actions. The caller holds d.mu.
 func (d *discovery) handle(ev listwatch.Event) {
 	if d.watcher == nil {
 		if d.random == nil {
@@ -206,7 +207,7 @@
 		d.timer.Stop()
 	}
 	if d.baseCtx != nil && d.baseCtx.Err() != nil {
-		return // nothing is followed any more
+		return // discovery has been stopped
 	}
 	d.actions = d.watcher.Handle(time.Since(d.start), ev, d.actions[:0])
 	for _, a := range d.actions {
@@ -237,7 +238,7 @@
 	d.handle(listwatch.Event{Kind: listwatch.EvTick})
 }
 
-// run makes one call and reports its end.
+// runCall makes one call and reports its end to the Watcher.
 func (d *discovery) runCall(ctx context.Context, c *watchCall, addr string, rev int64) {
 	err := d.watch(ctx, c.number, addr, rev)
 	c.cancel()
@@ -251,7 +252,8 @@
 
 var errSuperseded = errors.New("another call has been answered")
 
-// hear hands what came on a call to the Watcher and runs f, unless another call is listened to.
+// deliver reports activity on a call to the Watcher. It runs f if that call is the active watch and otherwise returns
+// errSuperseded.
 func (d *discovery) deliver(number int, kind listwatch.EventKind, f func()) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -263,7 +265,8 @@
 	return nil
 }
 
-// watch makes one call and passes on what comes; it returns when the watch is over. The Watcher says how long it waits.
+// watch makes one call and delivers the lists that arrive. It returns when the watch has ended. Its timeouts are
+// enforced by the Watcher.
 func (d *discovery) watch(ctx context.Context, number int, addr string, rev int64) error {
 	dial := d.dial
 	if dial == nil {
@@ -299,7 +302,8 @@
 	if err != nil {
 		return err
 	}
-	onActivity := func() { d.deliver(number, listwatch.EvActivity, func() {}) } // one that is overtaken ends by itself
+	// The error is ignored, as a superseded call is cancelled.
+	onActivity := func() { d.deliver(number, listwatch.EvActivity, func() {}) }
 	for reader := (&objectReader{r: bufio.NewReader(res.Body), onActivity: onActivity}); ; {
 		text, err := reader.next()
 		if err != nil {
@@ -315,9 +319,9 @@
 	}
 }
 
-// objects splits a watch into its JSON objects. Each stands on a line of its own, or on several if it is indented, so
-// the braces tell where it ends. Whole objects, and line ends between them, are signs of life; a part of one is none,
-// or a watch that trickles would never be taken for dead.
+// objectReader splits a watch into its JSON objects. An object may span several lines, so its end is found by
+// counting braces. Complete objects and line breaks between them count as activity; parts of an object do not, so
+// that a watch which delivers single bytes still times out.
 type objectReader struct {
 	r          *bufio.Reader
 	onActivity func()
@@ -325,7 +329,7 @@
 
 var errNoObject = errors.New("list: no JSON object")
 
-// next reads up to the end of the next object.
+// next returns the next complete object.
 func (o *objectReader) next() ([]byte, error) {
 	var text []byte
 	for depth, quoted, escaped := 0, false, false; ; {
