--- a/internal/sidecar/reload.go
+++ b/internal/sidecar/reload.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// kept names what cannot change in a running process.
+// restartOnlyChanges returns the changed keys that take effect only after a restart.
 func (s *Sidecar) restartOnlyChanges(cfg *Config) []string {
 	var keys []string
 	for _, setting := range [...]struct {
@@ -56,7 +56,7 @@
 	return keys
 }
 
-// change has the loop put settings in force, between two events, and waits until it has.
+// applySettings has the loop apply new settings between two events and waits for the result.
 func (s *Sidecar) applySettings(site *wire.Site) error {
 	result, index := make(chan error, 1), newSettingsIndex(&site.Settings)
 	s.loop.post(func() {
@@ -74,12 +74,13 @@
 	}
 }
 
-// change puts settings in force in the module and the loop.
+// reconfigure applies new settings to the module and the loop.
 func (l *loop) reconfigure(site *wire.Site, index *settingsIndex) (err error) {
 	settings := l.moduleSettings(site.Settings)
 	l.actions = l.actions[:0]
 	renumbered := !slices.Equal(l.directory.zones, site.Zones) || !slices.Equal(l.directory.kinds, site.Kinds)
-	if renumbered { // what may have run in a zone by its old number must not be repeated by the new one
+	// A request that may have run in a zone under its old number must not be repeated under the new one.
+	if renumbered {
 		if l.actions, err = l.balancer.Reconfigure(l.now(), withoutZoneRepeats(settings), l.actions); err != nil {
 			return err
 		}
@@ -88,7 +89,7 @@
 		return err
 	}
 	l.reloadedIndex, l.retryAfter = index, msToDuration(settings.Limits.RetryAfter())
-	l.idRetention = max(l.idRetention, idRetentionFor(&site.Settings)) // clients may wait by the settings of before
+	l.idRetention = max(l.idRetention, idRetentionFor(&site.Settings)) // clients may still wait by the previous settings
 	l.upstream.configure(site.Settings.Limits, settings.Safety.DrainGrace)
 	for _, c := range l.calls {
 		c.keepStricterEffect(index)
@@ -110,7 +111,7 @@
 	return nil
 }
 
-// unrepeated are settings in which nothing is repeated within a zone.
+// withoutZoneRepeats returns settings under which no request is repeated within a zone.
 func withoutZoneRepeats(settings forkline.Settings) forkline.Settings {
 	settings.Classes = slices.Clone(settings.Classes)
 	for i := range settings.Classes {
@@ -121,7 +122,7 @@
 	return settings
 }
 
-// restrict has an open call keep the stricter of its class's old and new rule.
+// keepStricterEffect makes an open call keep the stricter of the old and new effect of its class.
 func (c *call) keepStricterEffect(index *settingsIndex) {
 	if class, ok := index.classes[c.class]; ok {
 		effect := index.settings.Classes[class].Effect
@@ -129,7 +130,8 @@
 	}
 }
 
-// place gives a call that was read by older tables what those in force say, and tells whether it can be taken.
+// reapplySettings applies the current settings to a call that was parsed under older ones, and reports whether the
+// call can be accepted.
 func (l *loop) reapplySettings(c *call) bool {
 	class, status, reason := l.reloadedIndex.resolveClass(c.class, c.method, c.hasKey)
 	if class == nil {
--- a/internal/sidecar/remembered.go
+++ b/internal/sidecar/remembered.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// A client sends a request once more, under its id, only while it waits for the answer. That is at most the longest
-	// deadline of any class; twice that covers what its clock, the network and a core that is short add to it.
+	// A client retries a request under the same ID only while it waits for the response, which is at most the longest
+	// timeout of any class. Twice that also covers clock differences, network delays and CPU contention.
 	idRetentionFactor = 2.0
 
-	maxRecentIDs = 1 << 16 // ids, some 2 MB
+	maxRecentIDs = 1 << 16 // about 2 MB
 )
 
-// remembered holds the ids of requests that have ended, may have run, and may not simply run twice. Their clients may
-// not have got the answer, as their connections can be reset on the way, and may send them once more. It is bounded in
-// time and in number, and keeps hashes, as ids may be long.
+// recentIDs holds the IDs of calls that have ended, may have run and are not safe to repeat. Their clients may not
+// have received the response, as a connection can be reset in transit, and may retry. The set is bounded in time and
+// size. It stores hashes, since IDs may be long.
 type recentIDs struct {
 	seed    maphash.Seed
 	ids     map[uint64]struct{}
-	entries []recentID // the oldest first
-	first   int        // of those that are still held
+	entries []recentID // in order of expiry
+	first   int        // index of the first entry that has not expired
 }
 
 type recentID struct {
 	hash      uint64
-	expiresAt float64 // loop's clock, ms
+	expiresAt float64 // ms, on the loop's clock
 }
 
 func newRecentIDs() *recentIDs {
 	return &recentIDs{seed: maphash.MakeSeed(), ids: map[uint64]struct{}{}}
 }
 
-// add remembers an id until a time, or as long as those before it.
+// add stores an ID until the given time, or until the preceding entry expires if that is later.
 func (r *recentIDs) add(id string, expiresAt float64) {
 	if n := len(r.entries); n > r.first {
 		expiresAt = max(expiresAt, r.entries[n-1].expiresAt)
@@ -45,16 +45,16 @@
 	}
 }
 
-// has tells whether an id is remembered.
+// contains reports whether an ID is stored.
 func (r *recentIDs) contains(id string) bool {
 	_, ok := r.ids[maphash.String(r.seed, id)]
 	return ok
 }
 
-// full tells whether there would be no room for the ids of so many more requests.
+// isFull reports whether there is no space for the IDs of additional more calls.
 func (r *recentIDs) isFull(additional int) bool { return len(r.ids)+additional >= maxRecentIDs }
 
-// expire forgets the ids whose time is over.
+// expire removes the IDs that expire by now.
 func (r *recentIDs) expire(now float64) {
 	for r.first < len(r.entries) && r.entries[r.first].expiresAt <= now {
 		delete(r.ids, r.entries[r.first].hash)
@@ -66,7 +66,7 @@
 	}
 }
 
-// rememberTime is how long an id can come back by the settings, in ms.
+// idRetentionFor returns how long a client may retry an ID under the given settings, in ms.
 func idRetentionFor(settings *forkline.Settings) float64 {
 	longest := 0.0
 	for _, c := range settings.Classes {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -1,5 +1,5 @@
-// Package sidecar runs the decision module on real sockets. The loop owns the module and every request; the
-// front takes requests from clients, upstream carries attempts to endpoints, discovery follows the list.
+// Package sidecar runs the decision module on real sockets. The loop owns the module and all calls, front accepts
+// requests from clients, upstream carries attempts to endpoints, and discovery follows the server list.
 package sidecar
 
 import (
@@ -23,35 +23,36 @@
 	MemoryMB, Sockets       int
 	Site                    wire.Site
 	InitialList             List      // list to use until discovery answers
-	SettingsHash            uint64    // of the settings' text, for the log
+	SettingsHash            uint64    // hash of the settings file, for the log
 	ReloadRequestedAt       time.Time // time of the request to load this configuration, for the log
 }
 
 // MinSockets is the smallest descriptor limit that leaves descriptors for both clients and endpoints.
 const MinSockets = 64
 
-// reserved descriptors are for the runtime, standard streams and the listener, some 14, for the calls to discovery that
-// wait beside each other while it is silent, 10 at most, and for those on their way.
+// reservedSockets returns the number of descriptors that are not available for connections: about 14 for the runtime,
+// the standard streams and the listener, at most 10 for concurrent calls to discovery while it does not respond, and
+// some for connections that are being established.
 func reservedSockets(sockets int) int { return 24 + sockets/32 }
 
 const (
-	downstreamShare = 0.6  // of the other descriptors; endpoints get the rest
+	downstreamShare = 0.6  // share of the available descriptors; endpoints get the rest
 	killDelay       = 0.7  // seconds from the longest deadline to SIGKILL
-	maxKillDeadline = 3.0  // longest deadline that SIGKILL waits for
-	exitLead        = 0.35 // seconds before SIGKILL at which what is left is given up
+	maxKillDeadline = 3.0  // seconds; longest deadline that delays SIGKILL
+	exitLead        = 0.35 // seconds before SIGKILL at which the remaining calls are aborted
 )
 
 // Sidecar is one sidecar process: a balancer copy with its listener and connections.
 type Sidecar struct {
-	reloadMu        sync.Mutex // one Reload at a time; the loop must not wait for it
+	reloadMu        sync.Mutex // serializes Reload; the loop must not acquire it
 	mu              sync.Mutex
-	cfg             Config // guarded by mu; Reload alone changes it
+	cfg             Config // guarded by mu; written by Reload only
 	loop            *loop
 	front           *front
 	discovery       *discovery
 	listener        net.Listener
-	maxDownstream   int           // connections that clients may hold
-	cachedListDelay time.Duration // see agentFirst
+	maxDownstream   int           // limit on client connections
+	cachedListDelay time.Duration // see defaultCachedListDelay
 }
 
 // New validates the configuration and opens the listener. Connections wait in its backlog until Run.
@@ -74,7 +75,7 @@
 	return s, nil
 }
 
-// newDiscovery ties discovery and the loop together; ask or follow begins.
+// newDiscovery connects discovery and the loop. Calls start with poll or follow.
 func newDiscovery(cfg *Config, l *loop) *discovery {
 	d := &discovery{
 		addr: cfg.Discovery, rev: cfg.InitialList.Rev, policy: listwatch.PushPolicy,
@@ -90,22 +91,24 @@
 	}
 	if cfg.Site.Settings.PollList {
 		d.policy = listwatch.PollPolicy
-		d.onAnswered = func() { l.post(func() { l.handleListEvent(forkline.ListDelta) }) } // no changes so far
+		// An answered call counts as an empty change until its first list arrives.
+		d.onAnswered = func() { l.post(func() { l.handleListEvent(forkline.ListDelta) }) }
 	}
 	return d
 }
 
-// Run serves until ctx ends, then finishes the accepted requests.
+// Run serves until ctx ends, then finishes the accepted calls.
 func (s *Sidecar) Run(ctx context.Context) error {
-	watchCtx, stop := context.WithCancel(context.Background()) // drains count to the end
+	// The list is watched until the end, since servers may start draining in the meantime.
+	watchCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	defer close(s.loop.done)
 	if s.cfg.Site.Settings.PollList {
 		s.loop.requestWatch = func() { go s.discovery.poll(watchCtx) }
-		s.loop.post(func() { s.loop.updateList(s.cfg.InitialList, forkline.ListCached) }) // ahead of what the watch tells
+		s.loop.post(func() { s.loop.updateList(s.cfg.InitialList, forkline.ListCached) }) // ahead of anything the watch delivers
 	} else {
-		// What the agent has counts as told from the first moment on. So nothing is sent by the list of before until
-		// the agent has changed it, or has said nothing for too long.
+		// A sidecar counts as notified of everything the agent knows from the start. So no call is sent by the
+		// initial list until the agent has sent its changes or has not responded for cachedListDelay.
 		s.loop.cachedList = &s.cfg.InitialList
 		cachedListTimer := time.AfterFunc(s.cachedListDelay, func() { s.loop.post(s.loop.useCachedList) })
 		defer cachedListTimer.Stop()
@@ -133,7 +136,8 @@
 	}
 }
 
-// last is the time from SIGTERM at which what is left is given up, so as to be answered before SIGKILL.
+// drainLimit returns the time after SIGTERM at which the remaining calls are aborted, so that they are answered
+// before SIGKILL.
 func (s *Sidecar) drainLimit() time.Duration {
 	longest := 0.0
 	s.mu.Lock()
--- a/internal/sidecar/socket.go
+++ b/internal/sidecar/socket.go
@@ -10,9 +10,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// What the system knows of a connection without reading from it is asked here. Nothing in this file waits.
+// This file queries the kernel about a connection without reading from it. No function here blocks.
 
-// socket is the socket of a connection, if it has one.
+// rawConn returns the raw connection of c, if it has one.
 func rawConn(c net.Conn) (syscall.RawConn, error) {
 	sc, ok := c.(syscall.Conn)
 	if !ok {
@@ -21,26 +21,28 @@
 	return sc.SyscallConn()
 }
 
-// stillOpen looks whether the peer has closed an idle connection or sent what nobody asked for.
+// stillOpen reports whether an idle connection can be reused: the peer has not closed it and has sent no unsolicited
+// bytes.
 func stillOpen(c net.Conn) bool {
 	_, err := peek(c)
 	return errors.Is(err, syscall.EAGAIN)
 }
 
-// peek tells how many bytes can be read: 0 without an error at the end of the stream.
+// peek returns 1 if there are unread bytes and 0 without an error at the end of the stream. If there is nothing to
+// read, it returns EAGAIN.
 func peek(c net.Conn) (n int, err error) {
 	raw, err := rawConn(c)
 	if err != nil {
 		return 0, err
 	}
-	controlErr := raw.Control(func(fd uintptr) { // and not Read, which waits for other readers
+	controlErr := raw.Control(func(fd uintptr) { // not Read, which would wait for concurrent readers
 		var buf [1]byte
 		n, _, err = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
 	return n, cmp.Or(controlErr, err)
 }
 
-// unacknowledged is how many bytes written to a connection its peer's machine has not acknowledged yet.
+// unackedBytes returns the number of written bytes that the peer's kernel has not acknowledged.
 func unackedBytes(c net.Conn) (n int, err error) {
 	raw, err := rawConn(c)
 	if err != nil {
@@ -50,7 +52,7 @@
 	return n, cmp.Or(controlErr, err)
 }
 
-// hungUp looks whether the peer of a socket has ended its sending or reset the connection.
+// hungUp reports whether the peer has shut down its sending side or reset the connection.
 func hungUp(fd uintptr) bool {
 	const pollRDHup, pollErr, pollHup = 0x2000, 0x8, 0x10
 	p := struct {
