--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -1,27 +1,31 @@
-// Package listwatch decides how a client keeps the list of a discovery service watched: which calls are out, how long
-// each waits for its answer, when a watch counts as dead, and what a move of the service changes. It is sans-I/O:
-// a Watcher turns events into actions, and its host makes the calls and keeps the time.
+// Package listwatch decides how a client keeps the server list of a discovery service watched: which calls are in
+// flight, how long each waits for its answer, when a watch is considered dead, and what a change of the service's
+// address means. It performs no I/O: a Watcher turns events into actions, and its host makes the calls and keeps the
+// time.
 //
-// Where the list is polled, the host decides when to call (EvPoll). Where it is pushed, the Watcher starts calls by itself
-// from EvStart on. A call that exceeds SoftTimeout counts as failed, so that another one is started beside it. The first
-// call that is answered becomes the watch.
+// If the list is polled, the host decides when to call (EvPoll). If it is pushed, the Watcher starts calls by itself
+// from EvStart on. A call that exceeds SoftTimeout counts as failed, so that another one is started beside it. The
+// first call that is answered becomes the watch.
 package listwatch
 
 import "time"
 
 // Policy holds the timeouts of one way to watch a list.
 type Policy struct {
-	SilenceTimeout    time.Duration // a watch without any activity for this long is dead
-	DialTimeout       time.Duration // a connection must be established within this time
-	SoftTimeout       time.Duration // an unanswered call counts as failed after this time, but continues beside the next call
-	CallTimeout       time.Duration // an unanswered call is cancelled after this time, unless it is the oldest one in flight
-	OldestCallTimeout time.Duration // the oldest call is cancelled after this time; a server that handles calls in order answers it first
-	RetryDelay        time.Duration // push only: mean delay from a failure to the next call, with a jitter of half of it either way
+	SilenceTimeout time.Duration // a watch without any activity for this long is dead
+	DialTimeout    time.Duration // a connection must be established within this time
+	SoftTimeout    time.Duration // an unanswered call counts as failed after this time, but continues beside the next call
+	CallTimeout    time.Duration // an unanswered call is cancelled after this time, unless it is the oldest one in flight
+	// The oldest call is cancelled after this time, which is longer because a server that handles calls in order
+	// answers it first.
+	OldestCallTimeout time.Duration
+	RetryDelay        time.Duration // push only: mean delay from a failure to the next call; the jitter is ±50 %
 }
 
 // PollPolicy is the policy for a discovery service that is polled. A watch sends a heartbeat every 2 s, and a change
-// counts as notified 6 s after a silent watch misses it. SoftTimeout leaves time for a second call after one that
-// hangs. A shorter one would repeat calls that wait in the queue of an overloaded discovery service.
+// counts as notified 6 s after a silent watch misses it. SoftTimeout leaves time for a second call within these 6 s
+// if the first one hangs. With a shorter one, calls that only wait in the queue of an overloaded discovery service
+// would be repeated, which would add to the overload.
 var PollPolicy = Policy{
 	SilenceTimeout: 3 * time.Second, DialTimeout: 2 * time.Second, SoftTimeout: 1700 * time.Millisecond,
 	CallTimeout: 8 * time.Second, OldestCallTimeout: 30 * time.Second,
@@ -70,177 +74,178 @@
 	Call int
 }
 
-// call is one that waits for its answer.
+// call is an unanswered call.
 type call struct {
-	number int
-	begun  time.Duration
+	number    int
+	startedAt time.Duration
 }
 
 // Watcher keeps one list watched. Times are relative to any fixed point in time and must not decrease.
 type Watcher struct {
-	policy  Policy
-	random  func() float64 // the next number in [0, 1)
-	now     time.Duration
-	acts    []Action
-	follows bool
-	calls   []call        // that wait for their answers, the oldest first
-	begun   int           // number of the last call that was begun
-	latest  int           // of the one whose failure counts: the last one begun, or answered
-	failed  bool          // and whether that was told
-	watch   int           // of the call that is listened to; 0 = none
-	moved   bool          // that one is where discovery was before
-	signAt  time.Duration // last sign of life on it
-	next    time.Duration // when to call again by itself, if again
-	again   bool
+	policy          Policy
+	random          func() float64 // returns numbers in [0, 1)
+	now             time.Duration
+	actions         []Action
+	following       bool
+	calls           []call        // unanswered calls, the oldest first
+	callCount       int           // number of calls started; the last one has this number
+	latestCall      int           // number of the call whose failure counts: the last one started or answered
+	failureReported bool          // the failure of latestCall has been reported
+	activeCall      int           // number of the call that is the current watch; 0 = none
+	activeOutdated  bool          // activeCall was made to a previous address
+	lastActivity    time.Duration // time of the last activity on activeCall
+	nextCallAt      time.Duration // when to start the next call, if callScheduled
+	callScheduled   bool
 }
 
 // NewWatcher returns a Watcher without calls in flight.
 func NewWatcher(p Policy, random func() float64) *Watcher { return &Watcher{policy: p, random: random} }
 
 // ActiveCall returns the number of the call that is the current watch, or 0 if there is none.
-func (w *Watcher) ActiveCall() int { return w.watch }
+func (w *Watcher) ActiveCall() int { return w.activeCall }
 
 // Handle processes one event and appends the resulting actions to actions.
 func (w *Watcher) Handle(now time.Duration, ev Event, actions []Action) []Action {
-	w.now, w.acts = max(w.now, now), actions
+	w.now, w.actions = max(w.now, now), actions
 	switch ev.Kind {
 	case EvPoll:
-		if w.watch == 0 || w.moved {
-			w.begin()
+		if w.activeCall == 0 || w.activeOutdated {
+			w.startCall()
 		}
 	case EvStart:
-		if !w.follows {
-			w.follows = true
-			w.begin()
+		if !w.following {
+			w.following = true
+			w.startCall()
 		}
 	case EvAnswered:
-		w.answered(ev.Call)
+		w.callAnswered(ev.Call)
 	case EvActivity:
-		if ev.Call == w.watch {
-			w.signAt = w.now
+		if ev.Call == w.activeCall {
+			w.lastActivity = w.now
 		}
 	case EvCallEnded:
-		w.ended(ev.Call)
+		w.callEnded(ev.Call)
 	case EvAddressChanged:
-		w.dropCalls()
-		w.moved, w.again = w.watch != 0, false
-		if w.follows {
-			w.begin()
+		w.cancelCalls()
+		w.activeOutdated, w.callScheduled = w.activeCall != 0, false
+		if w.following {
+			w.startCall()
 		}
 	case EvTick:
-		w.tick()
+		w.checkTimeouts()
 	}
-	return w.acts
+	return w.actions
 }
 
 // NextTick returns the time at which EvTick is due unless another event comes first; ok is false if none is due.
 func (w *Watcher) NextTick() (at time.Duration, ok bool) {
-	earliest := func(t time.Duration) {
+	consider := func(t time.Duration) {
 		if !ok || t < at {
 			at, ok = t, true
 		}
 	}
-	if w.watch != 0 {
-		earliest(w.signAt + w.policy.SilenceTimeout)
+	if w.activeCall != 0 {
+		consider(w.lastActivity + w.policy.SilenceTimeout)
 	}
 	for i, c := range w.calls {
-		earliest(c.begun + w.patience(i))
-		if c.number == w.latest && !w.failed {
-			earliest(c.begun + w.policy.SoftTimeout)
+		consider(c.startedAt + w.callTimeout(i))
+		if c.number == w.latestCall && !w.failureReported {
+			consider(c.startedAt + w.policy.SoftTimeout)
 		}
 	}
-	if w.again {
-		earliest(w.next)
+	if w.callScheduled {
+		consider(w.nextCallAt)
 	}
 	return at, ok
 }
 
-// patience is how long a waiting call may go on.
-func (w *Watcher) patience(place int) time.Duration {
-	if place == 0 {
+// callTimeout returns how long an unanswered call may wait, given its position among these calls.
+func (w *Watcher) callTimeout(position int) time.Duration {
+	if position == 0 {
 		return w.policy.OldestCallTimeout
 	}
 	return w.policy.CallTimeout
 }
 
-func (w *Watcher) act(kind ActionKind, call int) {
-	w.acts = append(w.acts, Action{Kind: kind, Call: call})
+func (w *Watcher) emit(kind ActionKind, call int) {
+	w.actions = append(w.actions, Action{Kind: kind, Call: call})
 }
 
-func (w *Watcher) begin() {
-	w.begun++
-	w.latest, w.failed, w.again = w.begun, false, false
-	w.calls = append(w.calls, call{w.begun, w.now})
-	w.act(ActStartCall, w.begun)
+func (w *Watcher) startCall() {
+	w.callCount++
+	w.latestCall, w.failureReported, w.callScheduled = w.callCount, false, false
+	w.calls = append(w.calls, call{w.callCount, w.now})
+	w.emit(ActStartCall, w.callCount)
 }
 
-// answered makes a call the watch; whatever else is out has become needless.
-func (w *Watcher) answered(number int) {
-	if !w.remove(number) {
+// callAnswered makes a call the current watch and cancels all others.
+func (w *Watcher) callAnswered(number int) {
+	if !w.removeCall(number) {
 		return
 	}
-	w.dropCalls()
-	if w.watch != 0 {
-		w.act(ActCancelCall, w.watch)
+	w.cancelCalls()
+	if w.activeCall != 0 {
+		w.emit(ActCancelCall, w.activeCall)
 	}
-	w.watch, w.moved, w.signAt = number, false, w.now
-	w.latest, w.failed, w.again = number, false, false
+	w.activeCall, w.activeOutdated, w.lastActivity = number, false, w.now
+	w.latestCall, w.failureReported, w.callScheduled = number, false, false
 }
 
-// ended forgets a call. Only the latest one's end is a failure: after an older one's another is out.
-func (w *Watcher) ended(number int) {
-	if number == w.watch && number != 0 {
-		w.watch, w.moved = 0, false
-	} else if !w.remove(number) {
+// callEnded forgets a call. Only the end of the latest call is a failure; when an older one ends, another is in
+// flight.
+func (w *Watcher) callEnded(number int) {
+	if number == w.activeCall && number != 0 {
+		w.activeCall, w.activeOutdated = 0, false
+	} else if !w.removeCall(number) {
 		return
 	}
-	if number == w.latest {
-		w.fail()
+	if number == w.latestCall {
+		w.reportFailure()
 	}
 }
 
-// fail tells once of each call that it failed.
-func (w *Watcher) fail() {
-	if w.failed {
+// reportFailure reports the failure of the latest call once. If the list is pushed, it schedules the next call.
+func (w *Watcher) reportFailure() {
+	if w.failureReported {
 		return
 	}
-	w.failed = true
-	w.act(ActReportFailure, w.latest)
-	if w.follows {
-		w.again, w.next = true, w.now+w.policy.RetryDelay/2+time.Duration(w.random()*float64(w.policy.RetryDelay))
+	w.failureReported = true
+	w.emit(ActReportFailure, w.latestCall)
+	if w.following {
+		w.callScheduled, w.nextCallAt = true, w.now+w.policy.RetryDelay/2+time.Duration(w.random()*float64(w.policy.RetryDelay))
 	}
 }
 
-func (w *Watcher) tick() {
-	if w.watch != 0 && w.now >= w.signAt+w.policy.SilenceTimeout {
-		w.act(ActCancelCall, w.watch)
-		w.ended(w.watch)
+func (w *Watcher) checkTimeouts() {
+	if w.activeCall != 0 && w.now >= w.lastActivity+w.policy.SilenceTimeout {
+		w.emit(ActCancelCall, w.activeCall)
+		w.callEnded(w.activeCall)
 	}
 	for i := 0; i < len(w.calls); i++ {
 		c := w.calls[i]
-		if c.number == w.latest && w.now >= c.begun+w.policy.SoftTimeout {
-			w.fail()
+		if c.number == w.latestCall && w.now >= c.startedAt+w.policy.SoftTimeout {
+			w.reportFailure()
 		}
-		if w.now >= c.begun+w.patience(i) {
-			w.act(ActCancelCall, c.number)
-			w.ended(c.number)
+		if w.now >= c.startedAt+w.callTimeout(i) {
+			w.emit(ActCancelCall, c.number)
+			w.callEnded(c.number)
 			i--
 		}
 	}
-	if w.again && w.now >= w.next {
-		w.begin()
+	if w.callScheduled && w.now >= w.nextCallAt {
+		w.startCall()
 	}
 }
 
-func (w *Watcher) dropCalls() {
+func (w *Watcher) cancelCalls() {
 	for _, c := range w.calls {
-		w.act(ActCancelCall, c.number)
+		w.emit(ActCancelCall, c.number)
 	}
 	w.calls = w.calls[:0]
 }
 
-// remove takes a waiting call out and tells whether it was there.
-func (w *Watcher) remove(number int) bool {
+// removeCall removes an unanswered call and reports whether it was present.
+func (w *Watcher) removeCall(number int) bool {
 	for i, c := range w.calls {
 		if c.number == number {
 			w.calls = append(w.calls[:i], w.calls[i+1:]...)
--- a/internal/listwatch/listwatch_test.go
+++ b/internal/listwatch/listwatch_test.go
@@ -6,153 +6,157 @@
 	"time"
 )
 
-// host carries a Watcher's actions out in virtual time, and notes them.
-type host struct {
-	w      *Watcher
-	now    time.Duration
-	out    []int // calls begun and not over
-	begun  []time.Duration
-	failed int
+// fakeHost carries out a Watcher's actions in virtual time and records them.
+type fakeHost struct {
+	watcher    *Watcher
+	now        time.Duration
+	inFlight   []int // calls started and not ended, the oldest first
+	startTimes []time.Duration
+	failures   int
 }
 
-func newHost(p Policy) *host {
-	return &host{w: NewWatcher(p, func() float64 { return 0.5 })}
+func newFakeHost(p Policy) *fakeHost {
+	return &fakeHost{watcher: NewWatcher(p, func() float64 { return 0.5 })}
 }
 
-func (h *host) do(kind EventKind, call int) {
+func (h *fakeHost) handle(kind EventKind, call int) {
 	if kind == EvCallEnded {
-		h.over(call)
+		h.forget(call)
 	}
-	for _, a := range h.w.Handle(h.now, Event{Kind: kind, Call: call}, nil) {
+	for _, a := range h.watcher.Handle(h.now, Event{Kind: kind, Call: call}, nil) {
 		switch a.Kind {
 		case ActStartCall:
-			h.out, h.begun = append(h.out, a.Call), append(h.begun, h.now)
+			h.inFlight, h.startTimes = append(h.inFlight, a.Call), append(h.startTimes, h.now)
 		case ActCancelCall:
-			h.over(a.Call)
+			h.forget(a.Call)
 		case ActReportFailure:
-			h.failed++
+			h.failures++
 		}
 	}
 }
 
-func (h *host) over(call int) {
-	h.out = slices.DeleteFunc(h.out, func(c int) bool { return c == call })
+func (h *fakeHost) forget(call int) {
+	h.inFlight = slices.DeleteFunc(h.inFlight, func(c int) bool { return c == call })
 }
 
-// until lets time go by.
-func (h *host) until(end time.Duration) {
-	for at, ok := h.w.NextTick(); ok && at <= end; at, ok = h.w.NextTick() {
+// advanceTo lets time pass and sends the ticks that are due.
+func (h *fakeHost) advanceTo(end time.Duration) {
+	for at, ok := h.watcher.NextTick(); ok && at <= end; at, ok = h.watcher.NextTick() {
 		h.now = max(h.now, at)
-		h.do(EvTick, 0)
+		h.handle(EvTick, 0)
 	}
 	h.now = end
 }
 
-func (h *host) wantOut(t *testing.T, what string, calls ...int) {
+func (h *fakeHost) wantInFlight(t *testing.T, when string, calls ...int) {
 	t.Helper()
-	if !slices.Equal(h.out, calls) {
-		t.Errorf("%s: calls %v are out, want %v", what, h.out, calls)
+	if !slices.Equal(h.inFlight, calls) {
+		t.Errorf("%s: calls %v in flight, want %v", when, h.inFlight, calls)
 	}
 }
 
-// A call that hangs counts as failed once it is overdue, and waits on beside the next; the first answer is the watch.
-func TestAHangingCallIsNotTheOnlyHope(t *testing.T) {
-	h := newHost(PollPolicy)
-	h.do(EvPoll, 0)
-	if h.until(PollPolicy.SoftTimeout + 100*time.Millisecond); h.failed != 1 {
-		t.Errorf("%d failures of a call that is overdue", h.failed)
+// A call that hangs is reported as failed after SoftTimeout but continues beside the next one. The first call that is
+// answered becomes the watch, and the end of an older call is no failure.
+func TestHangingCallDoesNotBlockTheNext(t *testing.T) {
+	h := newFakeHost(PollPolicy)
+	h.handle(EvPoll, 0)
+	if h.advanceTo(PollPolicy.SoftTimeout + 100*time.Millisecond); h.failures != 1 {
+		t.Errorf("%d failures reported for an overdue call, want 1", h.failures)
 	}
-	h.do(EvPoll, 0)
-	h.wantOut(t, "overdue", 1, 2)
-	h.do(EvCallEnded, 1)
-	if h.failed != 1 {
-		t.Error("the end of an older call was told as a failure")
+	h.handle(EvPoll, 0)
+	h.wantInFlight(t, "overdue", 1, 2)
+	h.handle(EvCallEnded, 1)
+	if h.failures != 1 {
+		t.Error("the end of an older call was reported as a failure")
 	}
-	h.do(EvPoll, 0)
-	h.do(EvAnswered, 2)
-	h.wantOut(t, "answered", 2)
-	h.do(EvPoll, 0)
-	if h.wantOut(t, "watched", 2); h.w.ActiveCall() != 2 {
-		t.Errorf("watching %d", h.w.ActiveCall())
+	h.handle(EvPoll, 0)
+	h.handle(EvAnswered, 2)
+	h.wantInFlight(t, "answered", 2)
+	h.handle(EvPoll, 0)
+	if h.wantInFlight(t, "watched", 2); h.watcher.ActiveCall() != 2 {
+		t.Errorf("active call %d, want 2", h.watcher.ActiveCall())
 	}
-	h.do(EvCallEnded, 3)
-	if h.do(EvCallEnded, 2); h.failed != 2 || h.w.ActiveCall() != 0 {
-		t.Errorf("%d failures after the watch broke", h.failed)
+	h.handle(EvCallEnded, 3)
+	if h.handle(EvCallEnded, 2); h.failures != 2 || h.watcher.ActiveCall() != 0 {
+		t.Errorf("%d failures after the watch broke, want 2 and no active call", h.failures)
 	}
 }
 
-// Where calls are handled in turn the oldest one's turn comes first: it is held, others are given up.
-func TestTheOldestCallIsHeld(t *testing.T) {
-	h := newHost(PollPolicy)
+// A discovery service that handles calls in order answers the oldest one first. So the oldest call waits for
+// OldestCallTimeout, while others are cancelled after CallTimeout.
+func TestOldestCallHasLongerTimeout(t *testing.T) {
+	h := newFakeHost(PollPolicy)
 	for at := time.Duration(0); at < 28*time.Second; at += 4 * time.Second {
-		h.until(at)
-		h.do(EvPoll, 0)
-		if len(h.out) > 3 {
-			t.Fatalf("%d calls are out", len(h.out))
+		h.advanceTo(at)
+		h.handle(EvPoll, 0)
+		if len(h.inFlight) > 3 {
+			t.Fatalf("%d calls in flight, want at most 3", len(h.inFlight))
 		}
 	}
-	h.wantOut(t, "still", 1, 6, 7)
-	h.until(PollPolicy.OldestCallTimeout)
-	h.wantOut(t, "after all", 7)
+	h.wantInFlight(t, "before OldestCallTimeout", 1, 6, 7)
+	h.advanceTo(PollPolicy.OldestCallTimeout)
+	h.wantInFlight(t, "after OldestCallTimeout", 7)
 }
 
-// A silent watch is dead, in time to call again; signs of life, on it alone, keep it.
-func TestASilentWatchIsDead(t *testing.T) {
-	h := newHost(PollPolicy)
-	h.do(EvPoll, 0)
-	h.do(EvAnswered, 1)
-	h.until(2 * time.Second)
-	h.do(EvActivity, 1)
-	h.until(5*time.Second - 1)
-	h.do(EvActivity, 7)
-	h.wantOut(t, "before", 1)
-	h.until(5 * time.Second)
-	if h.wantOut(t, "after"); h.failed != 1 || h.w.ActiveCall() != 0 {
-		t.Errorf("%d failures, watching %d", h.failed, h.w.ActiveCall())
+// A watch without activity is cancelled after SilenceTimeout. Only activity on the watch itself keeps it, not activity
+// on another call.
+func TestSilentWatchTimesOut(t *testing.T) {
+	h := newFakeHost(PollPolicy)
+	h.handle(EvPoll, 0)
+	h.handle(EvAnswered, 1)
+	h.advanceTo(2 * time.Second)
+	h.handle(EvActivity, 1)
+	h.advanceTo(5*time.Second - 1)
+	h.handle(EvActivity, 7)
+	h.wantInFlight(t, "before SilenceTimeout", 1)
+	h.advanceTo(5 * time.Second)
+	if h.wantInFlight(t, "after SilenceTimeout"); h.failures != 1 || h.watcher.ActiveCall() != 0 {
+		t.Errorf("%d failures, want 1; active call %d, want 0", h.failures, h.watcher.ActiveCall())
 	}
 }
 
-// A move ends calls that wait, keeps the watch until another call is answered, and its end is no failure then. Pushed
-// lists are called for at once, and moves away and back leave one call.
-func TestAMoveKeepsTheWatch(t *testing.T) {
-	h := newHost(PushPolicy)
-	h.do(EvStart, 0)
-	h.do(EvStart, 0)
-	h.do(EvAnswered, 1)
-	h.do(EvAddressChanged, 0)
-	h.wantOut(t, "moved", 1, 2)
-	h.do(EvAddressChanged, 0)
-	h.wantOut(t, "moved back", 1, 3)
-	h.do(EvAnswered, 2)
-	h.wantOut(t, "one that was given up is answered", 1, 3)
-	h.do(EvAnswered, 3)
-	h.wantOut(t, "answered", 3)
-	h.do(EvCallEnded, 1)
+// A change of address cancels unanswered calls and keeps the watch until another call is answered; the end of the old
+// watch is no failure then. If the list is pushed, a call to the new address starts at once. A change to another
+// address and back leaves a single call.
+func TestAddressChangeKeepsWatchUntilNextAnswer(t *testing.T) {
+	h := newFakeHost(PushPolicy)
+	h.handle(EvStart, 0)
+	h.handle(EvStart, 0)
+	h.handle(EvAnswered, 1)
+	h.handle(EvAddressChanged, 0)
+	h.wantInFlight(t, "moved", 1, 2)
+	h.handle(EvAddressChanged, 0)
+	h.wantInFlight(t, "moved back", 1, 3)
+	h.handle(EvAnswered, 2)
+	h.wantInFlight(t, "a cancelled call is answered", 1, 3)
+	h.handle(EvAnswered, 3)
+	h.wantInFlight(t, "answered", 3)
+	h.handle(EvCallEnded, 1)
 	for range 10 {
-		h.until(h.now + time.Second)
-		h.do(EvActivity, 3)
+		h.advanceTo(h.now + time.Second)
+		h.handle(EvActivity, 3)
 	}
-	if h.wantOut(t, "later", 3); len(h.begun) != 3 || h.failed != 0 {
-		t.Errorf("%d calls, %d failures", len(h.begun), h.failed)
+	if h.wantInFlight(t, "later", 3); len(h.startTimes) != 3 || h.failures != 0 {
+		t.Errorf("%d calls started, want 3; %d failures, want 0", len(h.startTimes), h.failures)
 	}
 }
 
-// An agent that pushes is called again soon, whether calls fail or hang; each has a while to be answered.
-func TestAnAgentIsCalledAgainSoon(t *testing.T) {
-	h := newHost(PushPolicy)
-	h.do(EvStart, 0)
-	h.until(20 * time.Second)
-	for i := 1; i < len(h.begun); i++ {
-		if gap := h.begun[i] - h.begun[i-1]; gap > PushPolicy.SoftTimeout+3*PushPolicy.RetryDelay/2 {
-			t.Errorf("called again after %v", gap)
+// An agent that pushes the list is called again soon, whether calls fail or hang, and the calls in flight stay few.
+func TestPushedListIsRetriedSoon(t *testing.T) {
+	h := newFakeHost(PushPolicy)
+	h.handle(EvStart, 0)
+	h.advanceTo(20 * time.Second)
+	for i := 1; i < len(h.startTimes); i++ {
+		if gap := h.startTimes[i] - h.startTimes[i-1]; gap > PushPolicy.SoftTimeout+3*PushPolicy.RetryDelay/2 {
+			t.Errorf("next call started after %v", gap)
 		}
 	}
-	if len(h.begun) < 25 || len(h.out) > 8 {
-		t.Errorf("%d calls begun, %d out", len(h.begun), len(h.out))
+	if len(h.startTimes) < 25 || len(h.inFlight) > 8 {
+		t.Errorf("%d calls started, want at least 25; %d in flight, want at most 8", len(h.startTimes), len(h.inFlight))
 	}
-	h.do(EvCallEnded, h.out[len(h.out)-1])
-	from, n := h.now, len(h.begun)
-	if h.until(from + 2*PushPolicy.RetryDelay); len(h.begun) == n {
-		t.Error("not called again after a failure")
+	h.handle(EvCallEnded, h.inFlight[len(h.inFlight)-1])
+	from, calls := h.now, len(h.startTimes)
+	if h.advanceTo(from + 2*PushPolicy.RetryDelay); len(h.startTimes) == calls {
+		t.Error("no call started after a failure")
 	}
 }
