--- a/internal/sidecar/front.go
+++ b/internal/sidecar/front.go
@@ -97,7 +97,10 @@
 
 // newFront returns a front for at most maxConns client connections.
 func newFront(l *loop, settings *forkline.Settings, maxConns int) *front {
-	f := &front{loop: l, drainAcceptTime: defaultDrainAcceptTime, requestTimeout: defaultRequestTimeout, downstream: newDownstream(maxConns)}
+	f := &front{
+		loop: l, drainAcceptTime: defaultDrainAcceptTime, requestTimeout: defaultRequestTimeout,
+		downstream: newDownstream(maxConns),
+	}
 	f.index.Store(newSettingsIndex(settings))
 	return f
 }
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -409,7 +409,8 @@
 		l.endedIDs.add(c.id, l.now()+l.idRetention)
 	}
 	if c.retry != nil {
-		l.pendingRetries = append(l.pendingRetries, c) // not accepted here, as the module's actions are still being applied
+		// Not accepted here, as the module's actions are still being applied.
+		l.pendingRetries = append(l.pendingRetries, c)
 	}
 }
 
