--- a/internal/stats/stats.go
+++ b/internal/stats/stats.go
@@ -1,5 +1,5 @@
-// Package stats holds the small statistics that decisions rest on. Nothing in it has a clock: every time is the
-// caller's, in milliseconds, and must not go back.
+// Package stats provides the statistics that balancing decisions use: rates, sliding windows, samples, quantiles and
+// token buckets. It reads no clock: the caller passes every time, in milliseconds, and times must not decrease.
 package stats
 
 import (
@@ -7,10 +7,10 @@
 	"slices"
 )
 
-// Rate is an exponentially decaying rate of events. The zero Rate has counted no events.
+// Rate is an exponentially decaying rate of events. Its zero value has counted no events.
 type Rate struct {
-	PerSecond float64 // as of the last event
-	UpdatedAt float64 // time of the last event
+	PerSecond float64 // rate at the time of the last event
+	UpdatedAt float64 // time of the last event, in ms
 }
 
 // Add counts n events. The rate decays with the given time constant in ms.
@@ -19,17 +19,17 @@
 	r.UpdatedAt = now
 }
 
-// Window counts events in a sliding window. The count is exact: a token bucket would let a full bucket and its
-// refill through within one window. Events that have left the window are dropped in bulk.
+// Window counts the events in a sliding window exactly. A token bucket would be less strict: within one window it
+// lets through a full bucket and its refill. Events that have left the window are removed in bulk.
 type Window struct {
-	times []float64
-	first int
+	times []float64 // times of the events, oldest first
+	first int       // index of the oldest event in the window
 }
 
 // Add counts one event.
 func (w *Window) Add(now float64) { w.times = append(w.times, now) }
 
-// Since returns the number of events at or after the given time and drops older ones.
+// Since returns the number of events at or after the given time and removes older ones.
 func (w *Window) Since(from float64) int {
 	for w.first < len(w.times) && w.times[w.first] < from {
 		w.first++
@@ -41,15 +41,15 @@
 	return len(w.times) - w.first
 }
 
-// Len returns the number of events in memory, including those that have left the window. Tests use it.
+// Len returns the number of events in memory, including those that have left the window. It exists for tests.
 func (w *Window) Len() int { return len(w.times) }
 
-// Sample is a measured value and its time.
+// Sample is a measured value and the time of the measurement, in ms.
 type Sample struct{ At, Value float64 }
 
-// Recent appends the values of recent samples of a ring to values, the latest first. The ring has taken count samples
-// so far. Samples taken at or after since are always used. Older ones, down to the time oldest, are used only while
-// values has fewer than enough entries.
+// Recent appends the values of recent samples in a ring buffer to values, latest first. The ring has received count
+// samples in total. Samples taken at or after since are always included. Older ones, back to the time oldest, are
+// included only while values has fewer than enough entries.
 func Recent(values []float64, ring []Sample, count int, since, oldest float64, enough int) []float64 {
 	for i := range min(count, len(ring)) {
 		s := ring[(count-1-i)%len(ring)]
@@ -61,8 +61,8 @@
 	return values
 }
 
-// Quantile sorts values, which must not be empty, and returns the smallest one that at least the given share of them
-// do not exceed.
+// Quantile sorts values, which must not be empty, and returns the smallest of them that at least the given share of
+// the values do not exceed.
 func Quantile(values []float64, share float64) float64 {
 	slices.Sort(values)
 	return values[int(math.Ceil(share*float64(len(values))))-1]
@@ -70,13 +70,13 @@
 
 // TokenBucket limits events to a rate and allows bursts up to its capacity.
 type TokenBucket struct {
-	Tokens, UpdatedAt float64 // tokens at the time UpdatedAt
-	Rate, Capacity    float64 // tokens added per second, and the most the bucket holds
+	Tokens, UpdatedAt float64 // number of tokens at the time UpdatedAt (ms)
+	Rate, Capacity    float64 // tokens added per second, and the largest number of tokens in the bucket
 }
 
 // NewTokenBucket returns a full token bucket.
-func NewTokenBucket(now, rate, most float64) TokenBucket {
-	return TokenBucket{Tokens: most, UpdatedAt: now, Rate: rate, Capacity: most}
+func NewTokenBucket(now, rate, capacity float64) TokenBucket {
+	return TokenBucket{Tokens: capacity, UpdatedAt: now, Rate: rate, Capacity: capacity}
 }
 
 // Available returns the number of tokens in the bucket at the given time.
@@ -97,13 +97,13 @@
 // Share is an exponentially weighted average of the share of events of one kind among all events.
 type Share float64
 
-// Observe adds one event with the given weight.
-func (s *Share) Observe(is bool, weight float64) {
+// Observe adds one event with the given weight. matches reports whether the event is of the counted kind.
+func (s *Share) Observe(matches bool, weight float64) {
 	*s -= Share(weight) * *s
-	if is {
+	if matches {
 		*s += Share(weight)
 	}
 }
 
-// Odds returns the ratio of events of the kind to all other events.
+// Odds returns the ratio of events of the counted kind to all other events.
 func (s Share) Odds() float64 { return float64(s) / (1 - float64(s)) }
--- a/internal/stats/stats_test.go
+++ b/internal/stats/stats_test.go
@@ -5,17 +5,17 @@
 	"testing"
 )
 
-func TestRateForgets(t *testing.T) {
+func TestRateDecays(t *testing.T) {
 	var r Rate
 	for at := 0.0; at < 60000; at += 100 {
 		r.Add(at, 1, 2000)
 	}
 	if math.Abs(r.PerSecond-10) > 0.5 {
-		t.Errorf("%.2f events a second, want 10", r.PerSecond)
+		t.Errorf("rate is %.2f events per second, want 10", r.PerSecond)
 	}
 	before := r.PerSecond
 	if r.Add(r.UpdatedAt+2000, 0, 2000); math.Abs(r.PerSecond-before/math.E) > 1e-9 {
-		t.Errorf("%.2f events a second after the memory's time without any, want %.2f", r.PerSecond, before/math.E)
+		t.Errorf("rate is %.2f events per second after one time constant without events, want %.2f", r.PerSecond, before/math.E)
 	}
 }
 
@@ -29,10 +29,11 @@
 		}
 	}
 	if w.Len() > 300 {
-		t.Errorf("%d events are held of a window of 101", w.Len())
+		t.Errorf("%d events are in memory for a window of 101", w.Len())
 	}
 }
-func TestRecentTakesOlderSamplesOnlyWhileItHasFew(t *testing.T) {
+
+func TestRecentUsesOlderSamplesOnlyWhenFewAreRecent(t *testing.T) {
 	ring := make([]Sample, 4)
 	for i := range 6 {
 		ring[i%4] = Sample{At: float64(100 * i), Value: float64(i)}
@@ -43,18 +44,18 @@
 		want          int
 	}{{450, 0, 1, 1}, {450, 0, 3, 3}, {450, 350, 3, 2}, {0, 0, 1, 4}} {
 		if got := Recent(nil, ring, 6, c.since, c.oldest, c.enough); len(got) != c.want || got[0] != 5 {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: got %v", c, got)
 		}
 	}
 }
 
 func TestQuantile(t *testing.T) {
 	if got := Quantile([]float64{5, 1, 4, 2, 3}, 0.8); got != 4 {
-		t.Errorf("%v, want 4", got)
+		t.Errorf("80th percentile is %v, want 4", got)
 	}
 }
 
-func TestTokenBucketHoldsToItsRate(t *testing.T) {
+func TestTokenBucketLimitsRateAndBurst(t *testing.T) {
 	b := NewTokenBucket(0, 10, 5)
 	taken := 0
 	for at := 0.0; at < 10000; at++ {
@@ -63,19 +64,19 @@
 		}
 	}
 	if taken != 104 {
-		t.Errorf("%d taken in 10 s at 10 a second and 5 ahead, want 104", taken)
+		t.Errorf("%d tokens taken in 10 s at 10 per second with a burst of 5, want 104", taken)
 	}
 	if b.Available(1e9) != 5 {
-		t.Errorf("%v held, want 5", b.Available(1e9))
+		t.Errorf("%v tokens available after an idle period, want the capacity of 5", b.Available(1e9))
 	}
 }
 
-func TestShareForgets(t *testing.T) {
+func TestShareConverges(t *testing.T) {
 	var s Share
 	for i := range 10000 {
 		s.Observe(i%4 == 0, 0.005)
 	}
 	if math.Abs(float64(s)-0.25) > 0.02 || math.Abs(s.Odds()-1.0/3) > 0.04 {
-		t.Errorf("share %v, odds %v", s, s.Odds())
+		t.Errorf("share %v, odds %v; want 0.25 and 1/3", s, s.Odds())
 	}
 }
