--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -1,5 +1,5 @@
-// Package wire speaks the bench's binary frames: it turns batches into events
-// of the decision module and actions into replies. It decides nothing.
+// Package wire implements the binary protocol of the simulator. It decodes batches into events of the balancer and
+// encodes actions into replies. It also parses the settings object, which the sidecar's configuration contains too.
 package wire
 
 import (
@@ -12,30 +12,31 @@
 	"forkline"
 )
 
+// Sizes in bytes, and limits.
 const (
-	batchHeader = 20
-	replyHeader = 12
-	eventSize   = 48
-	actionSize  = 24
-	entrySize   = 22
-	maxBatch    = 1 << 30 // bytes; a longer length is taken for a broken frame
-	maxLists    = 16
-	readStep    = 1 << 20 // bytes allocated at a time while a batch comes in
+	batchHeaderSize = 20
+	replyHeaderSize = 12
+	eventSize       = 48
+	actionSize      = 24
+	entrySize       = 22
+	maxBatchSize    = 1 << 30 // a longer length indicates a corrupt frame
+	maxLists        = 16      // number of server lists that a process can hold
+	readChunkSize   = 1 << 20 // allocated at a time while reading a batch, so that a false length alone allocates little
 )
 
-// Event codes of the wire.
+// Event codes of the protocol.
 const (
-	codeNewInstance  = 1
-	codeRosterChange = 2
-	codeWorkItem     = 3
-	codeFirstByte    = 4
-	codeClosed       = 5
-	codeLapsed       = 6
-	codeFired        = 7
-	codeHealth       = 8
-	codePeer         = 9
-	codeHalt         = 10
-	codeRoster       = 11
+	codeStart           = 1
+	codeListChange      = 2
+	codeRequest         = 3
+	codeResponseStarted = 4
+	codeOutcome         = 5
+	codeClientGone      = 6
+	codeTimer           = 7
+	codeProbeResult     = 8
+	codePeer            = 9
+	codeStop            = 10
+	codeList            = 11
 )
 
 var outcomes = map[byte]forkline.Outcome{
@@ -43,32 +44,32 @@
 	252: forkline.ConnectFailed, 251: forkline.Reset, 250: forkline.Cancelled, 249: forkline.NotSent,
 }
 
-// Host receives the records of a batch one by one.
+// Host handles the records of a batch one by one.
 type Host interface {
 	Start(instance uint16, seed uint64, settings []byte, now float64) error
 	Stop(instance uint16)
 	Event(instance uint16, now float64, ev *forkline.Event) error
 }
 
-// Batch is one frame of events read from the input.
+// Batch is one input frame. Its body is valid until the next call to Decoder.Read.
 type Batch struct {
 	Number uint32
-	Now    float64
-	count  int
-	body   []byte
+	Now    float64 // time of all records, in ms
+	count  int     // number of records
+	body   []byte  // the records, then the tail of variable-size data that they refer to by offset
 }
 
-// Decoder reads batches and holds the numbered server lists of the process.
+// Decoder reads batches. It keeps the numbered server lists, which all instances of the process share.
 type Decoder struct {
-	lists [maxLists][]forkline.ServerEntry
-	known [maxLists]bool
-	body  []byte
-	ev    forkline.Event
+	lists    [maxLists][]forkline.ServerEntry
+	received [maxLists]bool // whether the list of each number has been received
+	body     []byte         // reused buffer
+	ev       forkline.Event // reused event
 }
 
-// Read reads the next batch from r. It returns io.EOF at a clean end of input.
+// Read reads the next batch from r. It returns io.EOF if the input ends before a batch.
 func (d *Decoder) Read(r io.Reader) (Batch, error) {
-	var head [batchHeader]byte
+	var head [batchHeaderSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Batch{}, io.EOF
@@ -84,86 +85,86 @@
 	switch {
 	case math.IsNaN(b.Now) || math.IsInf(b.Now, 0):
 		return b, fmt.Errorf("batch %d: the clock is no number", b.Number)
-	case size > maxBatch:
-		return b, fmt.Errorf("batch %d: length %d is over the limit of %d bytes", b.Number, size, maxBatch)
+	case size > maxBatchSize:
+		return b, fmt.Errorf("batch %d: length %d is over the limit of %d bytes", b.Number, size, maxBatchSize)
 	case b.count > size/eventSize:
 		return b, fmt.Errorf("batch %d: %d records do not fit into %d bytes", b.Number, b.count, size)
 	}
 	d.body = d.body[:0]
 	for len(d.body) < size {
-		from, step := len(d.body), min(size-len(d.body), readStep)
-		d.body = append(d.body, make([]byte, step)...)
-		if _, err := io.ReadFull(r, d.body[from:]); err != nil {
-			if errors.Is(err, io.EOF) { // only an end between batches is a clean one
+		start, chunk := len(d.body), min(size-len(d.body), readChunkSize)
+		d.body = append(d.body, make([]byte, chunk)...)
+		if _, err := io.ReadFull(r, d.body[start:]); err != nil {
+			if errors.Is(err, io.EOF) { // io.EOF stands for the end of the input between two batches
 				err = io.ErrUnexpectedEOF
 			}
-			return b, fmt.Errorf("batch %d: %d of %d bytes missing: %w", b.Number, size-from, size, err)
+			return b, fmt.Errorf("batch %d: %d of %d bytes missing: %w", b.Number, size-start, size, err)
 		}
 	}
 	b.body = d.body
 	return b, nil
 }
 
-// Deliver passes the records of a batch to the host in order.
+// Deliver decodes the records of a batch and passes them to the host in order.
 func (d *Decoder) Deliver(b Batch, host Host) error {
 	tail := b.body[b.count*eventSize:]
 	for i := 0; i < b.count; i++ {
 		rec := b.body[i*eventSize : (i+1)*eventSize]
-		if err := d.record(rec, tail, b.Now, host); err != nil {
+		if err := d.deliverRecord(rec, tail, b.Now, host); err != nil {
 			return fmt.Errorf("batch %d, record %d: %w", b.Number, i, err)
 		}
 	}
 	return nil
 }
 
-func (d *Decoder) record(rec, tail []byte, now float64, host Host) error {
+func (d *Decoder) deliverRecord(rec, tail []byte, now float64, host Host) error {
 	code, inst := u16(rec), u16(rec[2:])
 	ev := &d.ev
 	*ev = forkline.Event{}
 	switch code {
-	case codeRoster:
-		return d.roster(rec, tail)
-	case codeNewInstance:
-		text, err := slice(tail, u32(rec[12:]), u32(rec[16:]), 1)
+	case codeList:
+		return d.decodeList(rec, tail)
+	case codeStart:
+		text, err := tailSlice(tail, u32(rec[12:]), u32(rec[16:]), 1)
 		if err != nil {
 			return fmt.Errorf("settings: %w", err)
 		}
 		return host.Start(inst, binary.LittleEndian.Uint64(rec[4:]), text, now)
-	case codeHalt:
+	case codeStop:
 		host.Stop(inst)
 		return nil
 	case codePeer:
 		return nil
-	case codeRosterChange:
-		if err := d.rosterChange(rec, ev); err != nil {
+	case codeListChange:
+		if err := d.decodeListChange(rec, ev); err != nil {
 			return err
 		}
-	case codeWorkItem:
+	case codeRequest:
 		ev.Kind, ev.Request, ev.Class, ev.Tenant = forkline.EvRequest, u32(rec[4:]), u16(rec[8:]), u16(rec[10:])
 		ev.Key, ev.Deadline = binary.LittleEndian.Uint64(rec[12:]), f64(rec[20:])
 		if rec[36]&1 != 0 {
 			ev.WorkHint = f64(rec[28:])
 		}
-	case codeFirstByte:
+	case codeResponseStarted:
 		ev.Kind, ev.Request, ev.Attempt = forkline.EvResponseStarted, u32(rec[4:]), u16(rec[8:])
 		ev.Server, ev.Elapsed = u32(rec[10:]), f64(rec[14:])
-	case codeClosed:
+	case codeOutcome:
 		ev.Kind, ev.Request, ev.Server, ev.Attempt = forkline.EvOutcome, u32(rec[4:]), u32(rec[9:]), u16(rec[13:])
 		ev.Elapsed, ev.RequestDone = f64(rec[15:]), rec[23] != 0
-		if err := outcome(rec[8], ev); err != nil {
+		if err := setOutcome(rec[8], ev); err != nil {
 			return err
 		}
-	case codeLapsed:
+	case codeClientGone:
 		ev.Kind, ev.Request = forkline.EvClientGone, u32(rec[4:])
-	case codeFired:
+	case codeTimer:
 		ev.Kind, ev.Token = forkline.EvTimer, binary.LittleEndian.Uint64(rec[4:])
-	case codeHealth:
+	case codeProbeResult:
 		ev.Kind, ev.Server, ev.Elapsed = forkline.EvProbeResult, u32(rec[4:]), f64(rec[9:])
 		ev.ReportLen = min(int(rec[17]), len(ev.Report))
 		for i := range ev.ReportLen {
 			ev.Report[i] = math.Float32frombits(u32(rec[18+4*i:]))
 		}
-		if err := outcome(rec[8], ev); err != nil {
+		if err := setOutcome(rec[8], ev); err != nil {
 			return err
 		}
 	default:
@@ -172,21 +173,22 @@
 	return host.Event(inst, now, ev)
 }
 
-func outcome(code byte, ev *forkline.Event) error {
-	out, ok := outcomes[code]
+func setOutcome(code byte, ev *forkline.Event) error {
+	o, ok := outcomes[code]
 	if !ok {
 		return fmt.Errorf("outcome %d is unknown", code)
 	}
-	ev.Outcome = out
+	ev.Outcome = o
 	return nil
 }
 
-func (d *Decoder) roster(rec, tail []byte) error {
+// decodeList stores a server list under its number.
+func (d *Decoder) decodeList(rec, tail []byte) error {
 	number, count := u32(rec[2:]), u32(rec[10:])
 	if number >= maxLists {
 		return fmt.Errorf("list number %d is over %d", number, maxLists-1)
 	}
-	raw, err := slice(tail, u32(rec[6:]), count, entrySize)
+	raw, err := tailSlice(tail, u32(rec[6:]), count, entrySize)
 	if err != nil {
 		return fmt.Errorf("list %d: %w", number, err)
 	}
@@ -202,11 +204,12 @@
 			Started: f64(raw[14:]),
 		})
 	}
-	d.lists[number], d.known[number] = list, true
+	d.lists[number], d.received[number] = list, true
 	return nil
 }
 
-func (d *Decoder) rosterChange(rec []byte, ev *forkline.Event) error {
+// decodeListChange decodes a list event, which refers to a stored server list by its number.
+func (d *Decoder) decodeListChange(rec []byte, ev *forkline.Event) error {
 	ev.Kind = forkline.EvList
 	switch rec[12] {
 	case 0:
@@ -222,82 +225,83 @@
 		return fmt.Errorf("list kind %d is unknown", rec[12])
 	}
 	number := u32(rec[4:])
-	if number >= maxLists || !d.known[number] {
+	if number >= maxLists || !d.received[number] {
 		return fmt.Errorf("list %d was never sent", number)
 	}
 	ev.Servers = d.lists[number]
 	return nil
 }
 
-// slice cuts count items of the given size out of the tail.
-func slice(tail []byte, offset, count uint32, size int) ([]byte, error) {
-	from, length := uint64(offset), uint64(count)*uint64(size)
-	if from+length > uint64(len(tail)) {
-		return nil, fmt.Errorf("offset %d and length %d lie outside the tail of %d bytes", from, length, len(tail))
+// tailSlice returns the part of the tail that holds count items of the given size in bytes, starting at offset.
+func tailSlice(tail []byte, offset, count uint32, size int) ([]byte, error) {
+	start, length := uint64(offset), uint64(count)*uint64(size)
+	if start+length > uint64(len(tail)) {
+		return nil, fmt.Errorf("offset %d and length %d lie outside the tail of %d bytes", start, length, len(tail))
 	}
-	return tail[from : from+length], nil
+	return tail[start : start+length], nil
 }
 
 // Reply collects the actions in response to one batch.
 type Reply struct {
 	records []byte
-	tail    []byte
-	count   uint32
+	tail    []byte // texts that the records refer to by offset
+	count   uint32 // number of records
 }
 
 // Reset empties the reply for the next batch.
 func (r *Reply) Reset() { r.records, r.tail, r.count = r.records[:0], r.tail[:0], 0 }
 
-// Add appends one action of an instance.
+// Add appends an action of the given instance.
 func (r *Reply) Add(instance uint16, a *forkline.Action) {
-	rec := r.record(instance)
-	put := binary.LittleEndian
+	rec := r.appendRecord(instance)
+	le := binary.LittleEndian
 	code := uint16(0)
 	switch a.Kind {
 	case forkline.ActSend:
 		code = 1
-		put.PutUint32(rec[4:], a.Request)
-		put.PutUint32(rec[8:], a.Server)
-		put.PutUint64(rec[12:], math.Float64bits(a.Deadline))
+		le.PutUint32(rec[4:], a.Request)
+		le.PutUint32(rec[8:], a.Server)
+		le.PutUint64(rec[12:], math.Float64bits(a.Deadline))
 	case forkline.ActRefuse:
 		code = 2
-		put.PutUint32(rec[4:], a.Request)
-		put.PutUint64(rec[8:], math.Float64bits(a.Delay))
+		le.PutUint32(rec[4:], a.Request)
+		le.PutUint64(rec[8:], math.Float64bits(a.Delay))
 	case forkline.ActFail:
 		code = 3
-		put.PutUint32(rec[4:], a.Request)
+		le.PutUint32(rec[4:], a.Request)
 	case forkline.ActCancel:
 		code = 4
-		put.PutUint32(rec[4:], a.Request)
-		put.PutUint16(rec[8:], a.Attempt)
+		le.PutUint32(rec[4:], a.Request)
+		le.PutUint16(rec[8:], a.Attempt)
 	case forkline.ActTimer:
 		code = 5
-		put.PutUint64(rec[4:], math.Float64bits(a.Delay))
-		put.PutUint64(rec[12:], a.Token)
+		le.PutUint64(rec[4:], math.Float64bits(a.Delay))
+		le.PutUint64(rec[12:], a.Token)
 	case forkline.ActLog:
 		code = 9
-		r.text(rec, a.Text)
+		r.appendText(rec, a.Text)
 	case forkline.ActProbe:
 		code = 6
-		put.PutUint32(rec[4:], a.Server)
+		le.PutUint32(rec[4:], a.Server)
 	case forkline.ActCloseIdle:
 		code = 7
-		put.PutUint32(rec[4:], a.Server)
+		le.PutUint32(rec[4:], a.Server)
 	case forkline.ActWatchList:
 		code = 11
 		rec[4] = 1
 	}
-	put.PutUint16(rec, code)
+	le.PutUint16(rec, code)
 }
 
-// AddFault appends the message with which an instance reports its own failure.
+// AddFault appends a record that reports the failure of the given instance.
 func (r *Reply) AddFault(instance uint16, text string) {
-	rec := r.record(instance)
+	rec := r.appendRecord(instance)
 	binary.LittleEndian.PutUint16(rec, 10)
-	r.text(rec, text)
+	r.appendText(rec, text)
 }
 
-func (r *Reply) record(instance uint16) []byte {
+// appendRecord appends an action record with the given instance and returns it. Its other fields are 0.
+func (r *Reply) appendRecord(instance uint16) []byte {
 	r.records = append(r.records, make([]byte, actionSize)...)
 	r.count++
 	rec := r.records[len(r.records)-actionSize:]
@@ -305,15 +309,16 @@
 	return rec
 }
 
-func (r *Reply) text(rec []byte, text string) {
+// appendText appends a text to the tail and writes its offset and length to the record.
+func (r *Reply) appendText(rec []byte, text string) {
 	binary.LittleEndian.PutUint32(rec[4:], uint32(len(r.tail)))
 	binary.LittleEndian.PutUint32(rec[8:], uint32(len(text)))
 	r.tail = append(r.tail, text...)
 }
 
-// WriteTo writes the reply to the batch with the given number.
+// WriteTo writes the reply to the batch with the given number to w.
 func (r *Reply) WriteTo(w io.Writer, number uint32) error {
-	var head [replyHeader]byte
+	var head [replyHeaderSize]byte
 	binary.LittleEndian.PutUint32(head[0:], number)
 	binary.LittleEndian.PutUint32(head[4:], r.count)
 	binary.LittleEndian.PutUint32(head[8:], uint32(len(r.records)+len(r.tail)))
--- a/internal/wire/frame_test.go
+++ b/internal/wire/frame_test.go
@@ -11,13 +11,13 @@
 	"forkline"
 )
 
-// recorder keeps what a batch delivers.
+// recorder is a Host that records its calls.
 type recorder struct {
-	started  map[uint16]uint64
+	started  map[uint16]uint64 // seeds by instance
 	settings string
 	stopped  []uint16
 	events   []forkline.Event
-	insts    []uint16
+	insts    []uint16 // instance of each event
 }
 
 func (r *recorder) Start(inst uint16, seed uint64, settings []byte, _ float64) error {
@@ -31,10 +31,10 @@
 func (r *recorder) Stop(inst uint16) { r.stopped = append(r.stopped, inst) }
 
 func (r *recorder) Event(inst uint16, _ float64, ev *forkline.Event) error {
-	kept := *ev
-	kept.Servers = append([]forkline.ServerEntry(nil), ev.Servers...)
+	copied := *ev
+	copied.Servers = append([]forkline.ServerEntry(nil), ev.Servers...)
 	r.insts = append(r.insts, inst)
-	r.events = append(r.events, kept)
+	r.events = append(r.events, copied)
 	return nil
 }
 
@@ -47,14 +47,14 @@
 	return raw
 }
 
-// padded gives one event record: the fields, then zeros to the full size.
+// padded returns an event record with the given fields in hex, padded with zeros to its full size.
 func padded(t *testing.T, fields string) []byte {
 	t.Helper()
 	raw := unhex(t, fields)
 	return append(raw, make([]byte, eventSize-len(raw))...)
 }
 
-// frame builds a batch numbered 12 at the clock of the wire page's example.
+// frame returns a batch with number 12 and time 8412.25 ms.
 func frame(records [][]byte, tail []byte) []byte {
 	body := append(bytes.Join(records, nil), tail...)
 	head := []byte{12, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0x20, 0x6e, 0xc0, 0x40, byte(len(records)), 0, 0, 0}
@@ -62,6 +62,7 @@
 	return append(head, body...)
 }
 
+// deliver decodes a batch and returns the calls that its host received.
 func deliver(t *testing.T, raw []byte) (*recorder, error) {
 	t.Helper()
 	var d Decoder
@@ -77,7 +78,7 @@
 	var d Decoder
 	b, err := d.Read(bytes.NewReader(unhex(t, "01000000 00000000 00000000206ec040 00000000")))
 	if err != nil || b.Number != 1 || b.Now != 8412.25 {
-		t.Fatalf("batch %+v, error %v", b, err)
+		t.Fatalf("batch %+v, error %v; want number 1 at 8412.25 ms", b, err)
 	}
 	var out bytes.Buffer
 	var r Reply
@@ -113,7 +114,7 @@
 		}
 	}
 	if rec.insts[0] != 3 || rec.insts[2] != 5 {
-		t.Errorf("instances %v", rec.insts)
+		t.Errorf("instances are %v, want 3, 3 and 5", rec.insts)
 	}
 }
 
@@ -189,30 +190,30 @@
 		t.Errorf("servers %+v", servers)
 	}
 	if e := rec.events[1]; e.Kind != forkline.EvResponseStarted || e.Server != 0x03124a07 || e.Elapsed != 9.25 {
-		t.Errorf("first %+v", e)
+		t.Errorf("response started event %+v", e)
 	}
 	if e := rec.events[2]; e.Kind != forkline.EvOutcome || e.Outcome != forkline.OK || e.Elapsed != 18.5 || !e.RequestDone {
-		t.Errorf("outcome %+v", e)
+		t.Errorf("outcome event %+v", e)
 	}
 	if e := rec.events[3]; e.Kind != forkline.EvProbeResult || e.Server != 0x2c9011f2 || e.Elapsed != 1.4 {
-		t.Errorf("probe %+v", e)
+		t.Errorf("probe result event %+v", e)
 	}
 	if len(rec.stopped) != 1 || rec.stopped[0] != 3 {
-		t.Errorf("stopped %v", rec.stopped)
+		t.Errorf("stopped instances %v, want 3", rec.stopped)
 	}
 }
 
-// Each malformed frame must end in an error that says what is wrong.
+// A malformed frame must cause an error that states the reason and is not mistaken for the end of the input.
 func TestMalformedFrames(t *testing.T) {
-	whole := frame([][]byte{padded(t, "0600 0500 192b6f0e")}, nil)
+	complete := frame([][]byte{padded(t, "0600 0500 192b6f0e")}, nil)
 	for _, c := range []struct {
 		name, want string
 		raw        []byte
 	}{
-		{"short header", "batch header", whole[:10]},
-		{"short body", "bytes missing", whole[:40]},
-		{"no body", "bytes missing", whole[:batchHeader]},
-		{"records over length", "do not fit", append(append([]byte{}, whole[:16]...), append([]byte{9, 0, 0, 0}, whole[20:]...)...)},
+		{"short header", "batch header", complete[:10]},
+		{"short body", "bytes missing", complete[:40]},
+		{"no body", "bytes missing", complete[:batchHeaderSize]},
+		{"records over length", "do not fit", append(append([]byte{}, complete[:16]...), append([]byte{9, 0, 0, 0}, complete[20:]...)...)},
 		{"huge length", "over the limit", unhex(t, "01000000 ffffffff 00000000206ec040 00000000")},
 		{"clock", "no number", unhex(t, "01000000 00000000 000000000000f87f 00000000")},
 		{"event code", "event code 99", frame([][]byte{padded(t, "6300 0300")}, nil)},
@@ -228,16 +229,16 @@
 		t.Run(c.name, func(t *testing.T) {
 			_, err := deliver(t, c.raw)
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Fatalf("error %v, want one with %q", err, c.want)
+				t.Fatalf("error %v, want one that contains %q", err, c.want)
 			}
 			if errors.Is(err, io.EOF) {
-				t.Errorf("%v would pass for a clean end of input", err)
+				t.Errorf("error %v would be taken for the regular end of the input", err)
 			}
 		})
 	}
 }
 
-func TestCleanEnd(t *testing.T) {
+func TestEndOfInput(t *testing.T) {
 	if _, err := new(Decoder).Read(bytes.NewReader(nil)); err != io.EOF {
 		t.Errorf("error %v, want io.EOF", err)
 	}
@@ -259,7 +260,7 @@
 				return
 			}
 			if len(b.body) > len(raw) {
-				t.Fatalf("a body of %d bytes out of %d", len(b.body), len(raw))
+				t.Fatalf("body has %d bytes, the input only %d", len(b.body), len(raw))
 			}
 			if d.Deliver(b, &rec) != nil {
 				return
@@ -284,7 +285,7 @@
 		t.Errorf("class %+v", c)
 	}
 	if d := set.Classes[1]; d.Effect != forkline.Unsafe || d.Value != 0 {
-		t.Errorf("an absent effect must be the strictest, a worth of 0 kept: %+v", d)
+		t.Errorf("an absent effect must be unsafe and a worth of 0 must stay 0: %+v", d)
 	}
 	if set.Copies != 4 || set.Rank != 2 || set.Stage != 1 || set.Stages != 2 || set.Zone != 1 ||
 		!set.PollList || !set.ValueByWork || set.OverQuotaValue != 1 || set.WorstClassWeight != 0.25 || set.Tenants[0].Quota != 94 ||
@@ -299,7 +300,7 @@
 	for _, bad := range []string{`{`, `{"classes": 3}`, `{"classes": [{"effect": "maybe"}]}`,
 		`{"classes": [{"effect": "read_like", "group": "galaxy"}]}`} {
 		if _, err := ParseSettings([]byte(bad)); err == nil || !strings.HasPrefix(err.Error(), "settings: ") {
-			t.Errorf("%s: error %v", bad, err)
+			t.Errorf("settings %s: error %v, want one that begins with \"settings: \"", bad, err)
 		}
 	}
 }
