--- a/cmd/forkline-sim/main.go
+++ b/cmd/forkline-sim/main.go
@@ -1,5 +1,5 @@
-// Command forkline-sim hosts balancer instances on the bench's wire: batches come in
-// on standard input, one reply a batch goes out on standard output.
+// Command forkline-sim runs balancer instances for the simulator. It reads batches of events from standard input and
+// writes one reply per batch to standard output.
 package main
 
 import (
@@ -20,13 +20,14 @@
 	}
 }
 
-// host holds the instances of this process; they share nothing but the buffers.
+// host holds the instances of this process. They share only the buffers.
 type host struct {
 	instances map[uint16]*forkline.Balancer
 	reply     wire.Reply
-	actions   []forkline.Action
+	actions   []forkline.Action // reused buffer
 }
 
+// run serves batches until the end of the input.
 func run(in io.Reader, out io.Writer) error {
 	r, w := bufio.NewReaderSize(in, 1<<16), bufio.NewWriterSize(out, 1<<16)
 	h := &host{instances: map[uint16]*forkline.Balancer{}}
@@ -52,8 +53,8 @@
 	}
 }
 
-// Start creates the balancer of an instance; settings that it refuses are the
-// instance's own failure and are told as such.
+// Start creates the balancer of an instance. Settings that the balancer rejects are a failure of this instance, not of
+// the process: the reply reports them.
 func (h *host) Start(instance uint16, seed uint64, settings []byte, now float64) error {
 	set, err := wire.ParseSettings(settings)
 	if err != nil {
@@ -69,10 +70,10 @@
 	return nil
 }
 
-// Stop discards all that an instance held.
+// Stop removes an instance and all its state.
 func (h *host) Stop(instance uint16) { delete(h.instances, instance) }
 
-// Event lets an instance handle one event; events for stopped ones are passed over.
+// Event passes an event to an instance. Events for stopped instances are ignored.
 func (h *host) Event(instance uint16, now float64, ev *forkline.Event) error {
 	b := h.instances[instance]
 	if b == nil {
--- a/cmd/forkline-sim/main_test.go
+++ b/cmd/forkline-sim/main_test.go
@@ -12,7 +12,7 @@
 
 const settings = `{"balancers": 1, "classes": [{"aim": 500, "giveUp": 1000, "effect": "read_like"}], "stages": ["a"]}`
 
-// batch builds a frame of records and a tail at the given clock.
+// batch returns a frame with the given number, clock time, tail and records.
 func batch(number uint32, now float64, tail []byte, records ...[]byte) []byte {
 	le := binary.LittleEndian
 	out := le.AppendUint32(nil, number)
@@ -25,21 +25,21 @@
 	return append(out, tail...)
 }
 
-// script starts an instance with one server and gives it one request.
-func script() []byte {
+// exampleInput returns two batches that start an instance with one server and send it one request.
+func exampleInput() []byte {
 	le := binary.LittleEndian
 	entry := append(le.AppendUint32(nil, 77), make([]byte, 18)...)
 	tail := append([]byte(settings), entry...)
 	start := append([]byte{1, 0, 3, 0}, make([]byte, 8)...)
 	start = le.AppendUint32(le.AppendUint32(start, 0), uint32(len(settings)))
-	roster := le.AppendUint32(le.AppendUint32([]byte{11, 0, 0, 0, 0, 0}, uint32(len(settings))), 1)
+	list := le.AppendUint32(le.AppendUint32([]byte{11, 0, 0, 0, 0, 0}, uint32(len(settings))), 1)
 	change := append([]byte{2, 0, 3, 0}, 0, 0, 0, 0, 1, 0, 0, 0, 1)
 	request := append([]byte{3, 0, 3, 0, 9, 0, 0, 0}, make([]byte, 12)...)
 	request = le.AppendUint64(request, math.Float64bits(1900))
-	return append(batch(1, 1000, tail, start, roster, change), batch(2, 1000, nil, request)...)
+	return append(batch(1, 1000, tail, start, list, change), batch(2, 1000, nil, request)...)
 }
 
-// build compiles the adapter as the deploy file does.
+// build compiles the program with the command that the deployment uses.
 func build(t *testing.T) string {
 	t.Helper()
 	bin := filepath.Join(t.TempDir(), "forkline-sim")
@@ -49,7 +49,7 @@
 	return bin
 }
 
-func TestAdapterAnswersBatches(t *testing.T) {
+func TestProgramRepliesToBatches(t *testing.T) {
 	bin := build(t)
 	run := func(in []byte) (string, string, error) {
 		cmd := exec.Command(bin)
@@ -58,41 +58,41 @@
 		err := cmd.Run()
 		return stdout.String(), stderr.String(), err
 	}
-	stdout, stderr, err := run(script())
+	stdout, stderr, err := run(exampleInput())
 	if err != nil || stderr != "" {
-		t.Fatalf("end of input must be a clean exit: %v, %s", err, stderr)
+		t.Fatalf("exit at the end of the input: error %v, standard error %q; want none", err, stderr)
 	}
 	le := binary.LittleEndian
 	out := []byte(stdout)
 	if len(out) < 24 || le.Uint32(out) != 1 || le.Uint32(out[8:]) != 0 {
-		t.Fatalf("first reply %x", out)
+		t.Fatalf("first reply is %x, want an empty one to batch 1", out)
 	}
 	out = out[12:]
 	if le.Uint32(out) != 2 || le.Uint32(out[4:]) < 1 {
-		t.Fatalf("second reply %x", out)
+		t.Fatalf("second reply is %x, want one with actions to batch 2", out)
 	}
 	send := out[12:36]
 	if le.Uint16(send) != 1 || le.Uint16(send[2:]) != 3 || le.Uint32(send[4:]) != 9 || le.Uint32(send[8:]) != 77 {
-		t.Errorf("send %x", send)
+		t.Errorf("action is %x, want a send of request 9 to server 77", send)
 	}
 
 	for _, c := range []struct {
 		name, want string
 		in         []byte
 	}{
-		{"truncated", "bytes missing", script()[:80]},
+		{"truncated", "bytes missing", exampleInput()[:80]},
 		{"unknown code", "event code 44", batch(1, 0, nil, []byte{44, 0})},
 		{"broken settings", "settings", batch(1, 0, []byte("{"), append(make([]byte, 0, 20), 1, 0, 3, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0))},
 	} {
 		stdout, stderr, err := run(c.in)
 		if err == nil || stdout != "" || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, c.want) {
-			t.Errorf("%s: error %v, out %q, told %q", c.name, err, stdout, stderr)
+			t.Errorf("%s: error %v, standard output %q, standard error %q", c.name, err, stdout, stderr)
 		}
 	}
 }
 
-// Settings that the module refuses are that instance's own failure, not the process's.
-func TestRefusedSettingsAreAFault(t *testing.T) {
+// Settings that the balancer rejects must fail only their instance, not the process.
+func TestInvalidSettingsFailOnlyTheInstance(t *testing.T) {
 	text := []byte(`{"stages": ["a"]}`)
 	start := append([]byte{1, 0, 3, 0}, make([]byte, 8)...)
 	start = binary.LittleEndian.AppendUint32(binary.LittleEndian.AppendUint32(start, 0), uint32(len(text)))
@@ -101,6 +101,6 @@
 		t.Fatal(err)
 	}
 	if got := out.Bytes(); len(got) < 36 || got[12] != 10 || !strings.Contains(out.String(), "Classes") {
-		t.Errorf("reply %x", got)
+		t.Errorf("reply is %x, want a fault that names Classes", got)
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -102,22 +102,22 @@
 
 // ParseSite decodes the same object for a host that also needs the names of the zones and kinds.
 func ParseSite(text []byte) (Site, error) {
-	var env settingsJSON
-	if err := json.Unmarshal(text, &env); err != nil {
+	var parsed settingsJSON
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return Site{}, fmt.Errorf("settings: %w", err)
 	}
-	l, s := env.Limits, env.Safety
+	l, s := parsed.Limits, parsed.Safety
 	set := forkline.Settings{
-		Copies:         env.Copies,
-		Rank:           env.Rank,
-		Stage:          env.Stage,
-		Stages:         len(env.Stages),
-		Zone:           env.Zone,
-		PollList:       env.MembershipMode == "on_request",
-		ValueByWork:    env.ValueBy == "work",
-		ProbeCost:      env.Costs.Probe,
-		ReportField:    1 + slices.Index(env.Feedback.Fields, "busy_reqs"),
-		OverQuotaValue: orDefault(env.OverQuotaValue, 1),
+		Copies:         parsed.Copies,
+		Rank:           parsed.Rank,
+		Stage:          parsed.Stage,
+		Stages:         len(parsed.Stages),
+		Zone:           parsed.Zone,
+		PollList:       parsed.MembershipMode == "on_request",
+		ValueByWork:    parsed.ValueBy == "work",
+		ProbeCost:      parsed.Costs.Probe,
+		ReportField:    1 + slices.Index(parsed.Feedback.Fields, "busy_reqs"),
+		OverQuotaValue: orDefault(parsed.OverQuotaValue, 1),
 		Limits: forkline.Limits{
 			MaxAttempts: l.MaxAttempts, MaxOpenRequests: l.MaxOpenRequests, CancelAttempts: l.CancelAttempts,
 			Hedging: l.Hedging, Probing: l.Probing, SendRetryAfter: l.SendRetryAfter,
@@ -126,24 +126,25 @@
 		},
 		Safety: forkline.Safety{
 			AnswerSlack: s.AnswerSlack, DrainGrace: s.DrainGrace, ColdCapacity: s.ColdCapacity,
-			RampTime: s.RampTime, OverloadMultiple: s.OverloadMultiple, OverloadWindow: s.OverloadWindow, PollInterval: s.PollInterval,
-			DrainCloseTimeout: s.DrainCloseTimeout, RetryBudgetMin: s.RetryBudgetMin, RetryBudgetRatio: s.RetryBudgetRatio, RetryBudgetWindow: s.RetryBudgetWindow,
+			RampTime: s.RampTime, OverloadMultiple: s.OverloadMultiple, OverloadWindow: s.OverloadWindow,
+			PollInterval: s.PollInterval, DrainCloseTimeout: s.DrainCloseTimeout, RetryBudgetMin: s.RetryBudgetMin,
+			RetryBudgetRatio: s.RetryBudgetRatio, RetryBudgetWindow: s.RetryBudgetWindow,
 		},
 	}
-	if total := env.Goal.TotalWeight + env.Goal.WorstWindowWeight; total > 0 {
-		set.WorstClassWeight = max(env.Goal.WorstClassWeight, 0) / total
+	if total := parsed.Goal.TotalWeight + parsed.Goal.WorstWindowWeight; total > 0 {
+		set.WorstClassWeight = max(parsed.Goal.WorstClassWeight, 0) / total
 	}
-	for i, c := range env.Classes {
+	for i, c := range parsed.Classes {
 		class, err := c.class()
 		if err != nil {
 			return Site{}, fmt.Errorf("settings: classes[%d]: %w", i, err)
 		}
 		set.Classes = append(set.Classes, class)
 	}
-	for _, t := range env.Tenants {
+	for _, t := range parsed.Tenants {
 		set.Tenants = append(set.Tenants, forkline.Tenant{Name: t.Name, Quota: t.Quota})
 	}
-	return Site{Settings: set, Zones: env.Zones, Kinds: env.Kinds}, nil
+	return Site{Settings: set, Zones: parsed.Zones, Kinds: parsed.Kinds}, nil
 }
 
 // class converts a class to that of the balancer. An absent effect means unsafe and an absent group means the cell:
