--- a/cmd/forkline/config.go
+++ b/cmd/forkline/config.go
@@ -13,8 +13,8 @@
 	"forkline/internal/wire"
 )
 
-// file mirrors the configuration file; unknown keys are ignored.
-type file struct {
+// configFile is the configuration file. Unknown keys are ignored.
+type configFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -23,11 +23,12 @@
 		MemoryMB int `json:"memory_mb"`
 		Sockets  int `json:"sockets"`
 	} `json:"limits"`
-	Known    json.RawMessage `json:"known"`
-	Settings json.RawMessage `json:"settings"`
+	InitialList json.RawMessage `json:"known"`
+	Settings    json.RawMessage `json:"settings"`
 }
 
-// load reads the file that RELAY_CONFIG names; the other variables stand in for what it leaves out.
+// load reads the configuration file that RELAY_CONFIG names. Other environment variables provide the name and the
+// addresses that the file omits.
 func load(getenv func(string) string) (sidecar.Config, error) {
 	path := getenv("RELAY_CONFIG")
 	if path == "" {
@@ -37,7 +38,7 @@
 	if err != nil {
 		return sidecar.Config{}, fmt.Errorf("RELAY_CONFIG: %w", err)
 	}
-	var f file
+	var f configFile
 	if err := json.Unmarshal(text, &f); err != nil {
 		return sidecar.Config{}, fmt.Errorf("%s: %w", path, err)
 	}
@@ -57,10 +58,10 @@
 		return cfg, fmt.Errorf("%s: seed: %w", path, err)
 	}
 	if cfg.MemoryMB < 1 {
-		return cfg, fmt.Errorf("%s: limits.memory_mb: %d is no limit", path, cfg.MemoryMB)
+		return cfg, fmt.Errorf("%s: limits.memory_mb: %d is less than 1", path, cfg.MemoryMB)
 	}
 	if cfg.Sockets < sidecar.MinSockets {
-		return cfg, fmt.Errorf("%s: limits.sockets: %d is under the %d needed", path, cfg.Sockets, sidecar.MinSockets)
+		return cfg, fmt.Errorf("%s: limits.sockets: %d is less than the minimum of %d", path, cfg.Sockets, sidecar.MinSockets)
 	}
 	if cfg.Site, err = wire.ParseSite(f.Settings); err != nil {
 		return cfg, fmt.Errorf("%s: %w", path, err)
@@ -68,8 +69,8 @@
 	sum := fnv.New64a()
 	sum.Write(f.Settings) // never fails
 	cfg.SettingsHash = sum.Sum64()
-	if len(f.Known) > 0 {
-		if cfg.InitialList, err = sidecar.ParseList(f.Known); err != nil {
+	if len(f.InitialList) > 0 {
+		if cfg.InitialList, err = sidecar.ParseList(f.InitialList); err != nil {
 			return cfg, fmt.Errorf("%s: known: %w", path, err)
 		}
 	}
--- a/cmd/forkline/main.go
+++ b/cmd/forkline/main.go
@@ -1,5 +1,5 @@
-// Command forkline is one sidecar: it takes requests over HTTP and has the decision module choose
-// which endpoint of its tier serves each.
+// Command forkline is a sidecar load balancer. It accepts HTTP requests and forwards each to an endpoint of its tier
+// that the balancer chooses.
 package main
 
 import (
@@ -16,9 +16,9 @@
 	"forkline/internal/sidecar"
 )
 
-// memoryPart is the share of the memory limit that the Go runtime may fill; the rest is room for what it
-// does not count, and for the time that a collection takes.
-const memoryPart = 0.6
+// goMemoryShare is the share of the memory limit that the Go runtime may use. The rest is headroom for memory that the
+// runtime does not count and for allocations during a garbage collection.
+const goMemoryShare = 0.6
 
 func main() {
 	if err := run(); err != nil {
@@ -28,17 +28,17 @@
 }
 
 func run() error {
-	hangups := make(chan os.Signal, 1) // one waiting is enough: it reads the file as it is then
+	hangups := make(chan os.Signal, 1) // one pending signal is enough: its reload reads the latest file
 	signal.Notify(hangups, syscall.SIGHUP)
 	cfg, err := load(os.Getenv)
 	if err != nil {
 		return err
 	}
-	runtime.GOMAXPROCS(1) // one core is all a sidecar has
+	runtime.GOMAXPROCS(1) // a sidecar is allotted one core
 	limitMemory(cfg.MemoryMB)
 	slog.SetDefault(slog.With("name", cfg.Name))
 
-	cfg.Sockets = allowed(cfg.Sockets)
+	cfg.Sockets = allowedDescriptors(cfg.Sockets)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	s, err := sidecar.New(cfg)
@@ -53,9 +53,10 @@
 	return s.Run(ctx)
 }
 
-// allowed is how many of the descriptors that the settings tell the system gives: were more used, clients would take
-// those that are kept for discovery.
-func allowed(sockets int) int {
+// allowedDescriptors returns the configured number of descriptors or, if that is lower, the limit of the system, but at
+// least sidecar.MinSockets. With a number above the system's limit, client connections would take the descriptors that
+// are reserved for discovery.
+func allowedDescriptors(sockets int) int {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil || limit.Cur >= uint64(sockets) {
 		return sockets
@@ -64,12 +65,12 @@
 	return max(int(limit.Cur), sidecar.MinSockets)
 }
 
-// reload reads the configuration anew and puts it in force. One that cannot be used changes nothing.
+// reload reads the configuration file again and applies it. An invalid configuration changes nothing.
 func reload(s *sidecar.Sidecar) {
-	signalled := time.Now()
+	signalledAt := time.Now()
 	cfg, err := load(os.Getenv)
 	if err == nil {
-		cfg.ReloadRequestedAt, cfg.Sockets = signalled, allowed(cfg.Sockets)
+		cfg.ReloadRequestedAt, cfg.Sockets = signalledAt, allowedDescriptors(cfg.Sockets)
 		err = s.Reload(cfg)
 	}
 	if err != nil {
@@ -79,5 +80,5 @@
 	limitMemory(cfg.MemoryMB)
 }
 
-// limitMemory has the Go runtime keep to its share of a limit.
-func limitMemory(mb int) { debug.SetMemoryLimit(int64(memoryPart * float64(mb) * (1 << 20))) }
+// limitMemory sets the memory limit of the Go runtime to its share of the given limit.
+func limitMemory(mb int) { debug.SetMemoryLimit(int64(goMemoryShare * float64(mb) * (1 << 20))) }
