--- a/cmd/forkline/config_test.go
+++ b/cmd/forkline/config_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-const good = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
+const validConfig = `{"name":"n3","listen":"127.0.0.1:8443","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"peers":["127.0.0.1:1"],
 	"known":{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","az":"z","state":"Ready"}]},
 	"settings":{"stages":["a"],"zones":["z"],"classes":[{"name":"read","aim":500,"giveUp":1000,"effect":"read_like"}]}}`
 
-// env writes a configuration and returns the environment that names it.
-func env(t *testing.T, text string) func(string) string {
+// writeConfig writes a configuration file and returns an environment in which RELAY_CONFIG names it.
+func writeConfig(t *testing.T, text string) func(string) string {
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 }
 
 func TestLoad(t *testing.T) {
-	cfg, err := load(env(t, good))
+	cfg, err := load(writeConfig(t, validConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,15 +32,15 @@
 		cfg.InitialList.Rev != 41 || len(cfg.InitialList.Targets) != 1 || cfg.Site.Settings.Classes[0].Name != "read" {
 		t.Errorf("configuration %+v", cfg)
 	}
-	cfg, err = load(env(t, strings.Replace(good, `"listen":"127.0.0.1:8443",`, "", 1)))
+	cfg, err = load(writeConfig(t, strings.Replace(validConfig, `"listen":"127.0.0.1:8443",`, "", 1)))
 	if err != nil || cfg.Listen != "127.0.0.1:7000" {
-		t.Errorf("listen %q, error %v: RELAY_LISTEN stands in for what the file leaves out", cfg.Listen, err)
+		t.Errorf("listen %q, error %v; want the address in RELAY_LISTEN, as the file has none", cfg.Listen, err)
 	}
 }
 
-// A bad configuration must be told in one line that names the field.
-func TestLoadNamesTheField(t *testing.T) {
-	for field, edit := range map[string][2]string{
+// An invalid configuration must be reported in one line that names the key.
+func TestLoadErrorNamesTheKey(t *testing.T) {
+	for key, edit := range map[string][2]string{
 		"config.json":       {`{"name"`, `{name`},
 		"discovery":         {`127.0.0.1:8500`, `nowhere`},
 		"listen":            {`127.0.0.1:8443`, `8443`},
@@ -50,12 +50,12 @@
 		"known: targets[0]": {`"state":"Ready"`, `"state":"Odd"`},
 		"classes[0]":        {`read_like`, `maybe`},
 	} {
-		_, err := load(env(t, strings.Replace(good, edit[0], edit[1], 1)))
-		if err == nil || !strings.Contains(err.Error(), field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", field, err)
+		_, err := load(writeConfig(t, strings.Replace(validConfig, edit[0], edit[1], 1)))
+		if err == nil || !strings.Contains(err.Error(), key) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("%s: error %v, want one line that names the key", key, err)
 		}
 	}
 	if _, err := load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "RELAY_CONFIG") {
-		t.Errorf("no file named: error %v", err)
+		t.Errorf("without RELAY_CONFIG: error %v, want one that names it", err)
 	}
 }
--- a/cmd/forkline/descriptors_test.go
+++ b/cmd/forkline/descriptors_test.go
@@ -19,39 +19,39 @@
 	"time"
 )
 
-// Tests of the program as a process of its own, held to a descriptor limit by the system.
+// Tests of the program in its own process, with a descriptor limit that the system enforces.
 
 const (
-	limit = 256              // descriptors, the least of a scored day
-	long  = 20 * time.Second // no test that passes waits for so long
+	descriptorLimit = 256              // the smallest limit that the program has to run with
+	testTimeout     = 20 * time.Second // longer than any wait of a test that passes
 )
 
-// eventually waits until what is asked for holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until the condition is true and fails the test after testTimeout.
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !holds(); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not seen: " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// settingsOf are those of a tier with one class, whose list comes in the way of the mode.
-func settingsOf(mode string) json.RawMessage {
+// settingsFor returns the settings of a tier with one class and the given membership mode, push or on_request.
+func settingsFor(mode string) json.RawMessage {
 	return json.RawMessage(`{"balancers":2,"stages":["a"],"zones":["z"],"membershipMode":"` + mode + `",
 		"limits":{"maxAttempts":3,"cancel":true,"connectTimeout":250,"connIdle":10000},
 		"safety":{"answerSlack":20,"drainGrace":500,"askEvery":5000},
 		"classes":[{"name":"read","aim":5000,"giveUp":20000,"effect":"read_like"}]}`)
 }
 
-// limited runs the program until the test ends, told the limit and allowed so many descriptors. It returns the process, its address and its
-// configuration file.
-func limited(t *testing.T, allowed int, cfg map[string]any) (p *os.Process, addr, path string) {
+// startLimited runs the program until the test ends. It is configured with descriptorLimit, and the system allows it
+// maxDescriptors. It returns the process, its address and the path of its configuration file.
+func startLimited(t *testing.T, maxDescriptors int, cfg map[string]any) (p *os.Process, addr, path string) {
 	t.Helper()
 	if cfg["seed"], cfg["name"] = "1", "n"; cfg["listen"] == nil {
 		cfg["listen"] = "127.0.0.1:0"
 	}
-	cfg["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": limit}
+	cfg["limits"] = map[string]any{"cores": 1, "memory_mb": 192, "sockets": descriptorLimit}
 	text, err := json.Marshal(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	if err := os.WriteFile(path, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", allowed, build(t)))
+	cmd := exec.Command("/bin/sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", maxDescriptors, build(t)))
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+path)
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
@@ -69,12 +69,12 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	lines, read := bufio.NewScanner(stderr), make(chan struct{})
-	t.Cleanup(func() { cmd.Process.Kill(); <-read; cmd.Wait() })
-	addr = logged(t, lines, `serving.* listen=(\S+)`)
+	lines, logRead := bufio.NewScanner(stderr), make(chan struct{})
+	t.Cleanup(func() { cmd.Process.Kill(); <-logRead; cmd.Wait() })
+	addr = waitForLog(t, lines, `serving.* listen=(\S+)`)
 	go func() {
-		defer close(read)
-		for lines.Scan() { // or the program would wait for its log to be read
+		defer close(logRead)
+		for lines.Scan() { // a full pipe would block the program
 			if strings.Contains(lines.Text(), syscall.EMFILE.Error()) {
 				t.Error(lines.Text())
 			}
@@ -83,14 +83,14 @@
 	return cmd.Process, addr, path
 }
 
-// descriptors counts those that a process holds.
-func descriptors(p *os.Process) int {
-	all, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid))
-	return len(all)
+// openDescriptors returns the number of descriptors that a process has open.
+func openDescriptors(p *os.Process) int {
+	entries, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.Pid))
+	return len(entries)
 }
 
-// standIn serves connections on one address until it goes away, and again after its return.
-type standIn struct {
+// fakeServer serves connections on one address. It can be closed and can then listen on the same address again.
+type fakeServer struct {
 	t     *testing.T
 	addr  string
 	serve func(net.Conn)
@@ -99,15 +99,15 @@
 	conns []net.Conn
 }
 
-func newStandIn(t *testing.T, serve func(net.Conn)) *standIn {
-	s := &standIn{t: t, addr: "127.0.0.1:0", serve: serve}
-	s.returns()
+func newFakeServer(t *testing.T, serve func(net.Conn)) *fakeServer {
+	s := &fakeServer{t: t, addr: "127.0.0.1:0", serve: serve}
+	s.listen()
 	s.addr = s.ln.Addr().String()
-	t.Cleanup(s.goes)
+	t.Cleanup(s.close)
 	return s
 }
 
-func (s *standIn) returns() {
+func (s *fakeServer) listen() {
 	s.t.Helper()
 	ln, err := net.Listen("tcp", s.addr)
 	if err != nil {
@@ -130,7 +130,7 @@
 	}()
 }
 
-func (s *standIn) goes() {
+func (s *fakeServer) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ln.Close()
@@ -140,16 +140,16 @@
 	s.conns = nil
 }
 
-// endpoint answers every request after a while.
-func endpoint(t *testing.T, work time.Duration) *standIn {
-	return newStandIn(t, func(c net.Conn) {
+// newEndpoint starts an endpoint that answers every request after serviceTime.
+func newEndpoint(t *testing.T, serviceTime time.Duration) *fakeServer {
+	return newFakeServer(t, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
 			req, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
 			io.Copy(io.Discard, req.Body)
-			time.Sleep(work)
+			time.Sleep(serviceTime)
 			if _, err := io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"); err != nil {
 				return
 			}
@@ -157,10 +157,11 @@
 	})
 }
 
-// follower is a discovery stand-in: each watch gets the list and stays open. It counts the watches.
-func follower(t *testing.T, list func() string) (*standIn, *atomic.Int32) {
+// newFakeDiscovery starts a discovery server that sends the list to each watch and keeps the watch open. It counts the
+// watches.
+func newFakeDiscovery(t *testing.T, list func() string) (*fakeServer, *atomic.Int32) {
 	var watches atomic.Int32
-	return newStandIn(t, func(c net.Conn) {
+	return newFakeServer(t, func(c net.Conn) {
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 			return
 		}
@@ -169,13 +170,13 @@
 			if _, err := io.WriteString(c, text+"\n"); err != nil {
 				return
 			}
-			time.Sleep(time.Second) // the beat of a watch
+			time.Sleep(time.Second) // interval of the empty lines that keep a watch alive
 		}
 	}), &watches
 }
 
-// listOf is a whole list in discovery's form.
-func listOf(rev int, addrs ...string) string {
+// listJSON returns a full list in the format of discovery.
+func listJSON(rev int, addrs ...string) string {
 	var targets []string
 	for i, addr := range addrs {
 		targets = append(targets, fmt.Sprintf(`{"uid":"s-%d-%s","endpoint":%q,"az":"z","state":"Ready"}`, i, addr, addr))
@@ -183,25 +184,25 @@
 	return fmt.Sprintf(`{"rev":%d,"all":true,"targets":[%s]}`, rev, strings.Join(targets, ","))
 }
 
-// crowd holds so many connections open until the test ends, each with the first bytes of something, and opens another
-// for each that is ended. It counts those.
-func crowd(t *testing.T, addr string, many int, first string) *atomic.Int64 {
+// holdConnections keeps count connections open until the test ends, and sends firstBytes on each. It replaces connections
+// that the program closes and returns their number so far.
+func holdConnections(t *testing.T, addr string, count int, firstBytes string) *atomic.Int64 {
 	var ended atomic.Int64
 	ctx, cancel := context.WithCancel(context.Background())
-	var all sync.WaitGroup
-	t.Cleanup(func() { cancel(); all.Wait() })
-	for range many {
-		all.Go(func() {
+	var wg sync.WaitGroup
+	t.Cleanup(func() { cancel(); wg.Wait() })
+	for range count {
+		wg.Go(func() {
 			for ctx.Err() == nil {
 				if c, err := net.Dial("tcp", addr); err == nil {
 					stop := context.AfterFunc(ctx, func() { c.Close() })
-					io.WriteString(c, first)
+					io.WriteString(c, firstBytes)
 					io.Copy(io.Discard, c)
 					stop()
 					c.Close()
 					ended.Add(1)
 				} else {
-					time.Sleep(time.Millisecond) // spares the processor while nobody listens
+					time.Sleep(time.Millisecond) // limits the rate of attempts while nothing listens
 				}
 			}
 		})
@@ -209,14 +210,14 @@
 	return &ended
 }
 
-// request sends one on a new connection and tells the status of the answer; 0 if there is none.
-func request(addr, path string, headers ...string) int {
-	c, err := net.DialTimeout("tcp", addr, long)
+// sendRequest sends a GET request on a new connection and returns the status of the response, or 0 if there is none.
+func sendRequest(addr, path string, headers ...string) int {
+	c, err := net.DialTimeout("tcp", addr, testTimeout)
 	if err != nil {
 		return 0
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(long))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: b\r\n%s\r\n", path, strings.Join(headers, ""))
 	res, err := http.ReadResponse(bufio.NewReader(c), nil)
 	if err != nil {
@@ -225,12 +226,14 @@
 	return res.StatusCode
 }
 
-func read(addr string, id any) int {
-	return request(addr, "/read/x", "X-Class: read\r\n", fmt.Sprintf("X-Request-Id: %v\r\n", id), "X-Deadline: 20\r\n")
+// sendRead sends a request of the class read with the given ID.
+func sendRead(addr string, id any) int {
+	return sendRequest(addr, "/read/x", "X-Class: read\r\n", fmt.Sprintf("X-Request-Id: %v\r\n", id), "X-Deadline: 20\r\n")
 }
 
-// most watches how many descriptors a process holds and returns the most seen so far.
-func most(t *testing.T, p *os.Process) func() int {
+// trackDescriptors samples the number of open descriptors of a process until the test ends. The function that it returns
+// returns the maximum so far.
+func trackDescriptors(t *testing.T, p *os.Process) func() int {
 	ctx, cancel := context.WithCancel(context.Background())
 	var seen atomic.Int64
 	done := make(chan struct{})
@@ -238,151 +241,154 @@
 	go func() {
 		defer close(done)
 		for ctx.Err() == nil {
-			seen.Store(max(seen.Load(), int64(descriptors(p))))
+			seen.Store(max(seen.Load(), int64(openDescriptors(p))))
 			time.Sleep(time.Millisecond)
 		}
 	}()
 	return func() int { return int(seen.Load()) }
 }
 
-// Clients that hold connections for nothing fill the descriptors while discovery is away. Readiness is answered then;
-// requests get through at a try or a few, as a connection may be closed unread; when discovery is back, it is watched
-// in time and attempts go to what it tells.
-func TestACrowdWhileDiscoveryIsAway(t *testing.T) {
+// Clients with idle connections exhaust the descriptors while discovery is down. Readiness must be answered meanwhile, and
+// a request must succeed within a few tries, as its connection may be closed unread. When discovery is back, it must be
+// watched again and attempts must go to the endpoints that it lists.
+func TestIdleConnectionsWhileDiscoveryIsDown(t *testing.T) {
 	for _, mode := range []string{"push", "on_request"} {
-		for name, first := range map[string]string{"silent": "", "half a request": "GET /re"} {
+		for name, firstBytes := range map[string]string{"silent": "", "partial request": "GET /re"} {
 			t.Run(mode+"/"+name, func(t *testing.T) {
-				old, added := endpoint(t, 0), endpoint(t, 0)
-				var returned atomic.Bool
-				disc, watches := follower(t, func() string {
-					if returned.Load() {
-						return listOf(2, added.addr)
+				old, added := newEndpoint(t, 0), newEndpoint(t, 0)
+				var addedListed atomic.Bool
+				disc, watches := newFakeDiscovery(t, func() string {
+					if addedListed.Load() {
+						return listJSON(2, added.addr)
 					}
 					return ""
 				})
-				p, addr, _ := limited(t, limit, map[string]any{
-					"discovery": disc.addr, "known": json.RawMessage(listOf(1, old.addr)), "settings": settingsOf(mode),
+				p, addr, _ := startLimited(t, descriptorLimit, map[string]any{
+					"discovery": disc.addr, "known": json.RawMessage(listJSON(1, old.addr)), "settings": settingsFor(mode),
 				})
-				eventually(t, "readiness", func() bool { return request(addr, "/-/ready") == 200 })
+				eventually(t, "readiness", func() bool { return sendRequest(addr, "/-/ready") == 200 })
 				eventually(t, "a watch", func() bool { return watches.Load() > 0 })
-				seen := most(t, p)
-				disc.goes()
-				crowd(t, addr, limit, first)
-				eventually(t, "full descriptors", func() bool { return seen() > limit/2 })
-				eventually(t, "readiness in the crowd", func() bool { return request(addr, "/-/ready") == 200 })
+				maxOpen := trackDescriptors(t, p)
+				disc.close()
+				holdConnections(t, addr, descriptorLimit, firstBytes)
+				eventually(t, "more than half of the descriptors in use", func() bool { return maxOpen() > descriptorLimit/2 })
+				eventually(t, "readiness with idle connections", func() bool { return sendRequest(addr, "/-/ready") == 200 })
 				id := 0
-				serves := func(when string) {
+				waitServed := func(condition string) {
 					t.Helper()
-					eventually(t, "a request served "+when, func() bool { id++; return read(addr, id) == 200 })
+					eventually(t, "a successful request "+condition, func() bool { id++; return sendRead(addr, id) == 200 })
 				}
-				serves("while discovery is away")
-				returned.Store(true)
+				waitServed("while discovery is down")
+				addedListed.Store(true)
 				before := watches.Load()
-				disc.returns()
-				eventually(t, "a watch after the return", func() bool { return watches.Load() > before })
-				old.goes() // so that only what the watch tells can serve
-				serves("by the new list")
-				eventually(t, "readiness at the end", func() bool { return request(addr, "/-/ready") == 200 })
-				if n := seen(); n >= limit {
-					t.Errorf("%d descriptors held, the limit is %d", n, limit)
+				disc.listen()
+				eventually(t, "a watch after discovery is back", func() bool { return watches.Load() > before })
+				old.close() // so that only the endpoint in the new list can serve
+				waitServed("with the new list")
+				eventually(t, "readiness at the end", func() bool { return sendRequest(addr, "/-/ready") == 200 })
+				if n := maxOpen(); n >= descriptorLimit {
+					t.Errorf("%d descriptors open, the limit is %d", n, descriptorLimit)
 				}
 			})
 		}
 	}
 }
 
-// The system allows fewer descriptors than the settings tell: a crowd does not take those that discovery needs.
-func TestFewerDescriptorsThanTold(t *testing.T) {
+// The system allows fewer descriptors than configured. Idle client connections must not take the descriptors that
+// discovery needs.
+func TestFewerDescriptorsThanConfigured(t *testing.T) {
 	for _, mode := range []string{"push", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
-			old, added := endpoint(t, 0), endpoint(t, 0)
-			disc, watches := follower(t, func() string { return listOf(2, added.addr) })
-			disc.goes()
-			_, addr, _ := limited(t, limit/2, map[string]any{
-				"discovery": disc.addr, "known": json.RawMessage(listOf(1, old.addr)), "settings": settingsOf(mode),
+			old, added := newEndpoint(t, 0), newEndpoint(t, 0)
+			disc, watches := newFakeDiscovery(t, func() string { return listJSON(2, added.addr) })
+			disc.close()
+			_, addr, _ := startLimited(t, descriptorLimit/2, map[string]any{
+				"discovery": disc.addr, "known": json.RawMessage(listJSON(1, old.addr)), "settings": settingsFor(mode),
 			})
-			eventually(t, "readiness", func() bool { return request(addr, "/-/ready") == 200 })
-			ended := crowd(t, addr, limit, "")
-			eventually(t, "no room for the crowd", func() bool { return ended.Load() > limit })
-			disc.returns()
+			eventually(t, "readiness", func() bool { return sendRequest(addr, "/-/ready") == 200 })
+			ended := holdConnections(t, addr, descriptorLimit, "")
+			eventually(t, "connections to be closed for lack of descriptors", func() bool { return ended.Load() > descriptorLimit })
+			disc.listen()
 			eventually(t, "a watch", func() bool { return watches.Load() > 0 })
-			old.goes()
+			old.close()
 			id := 0
-			eventually(t, "a request served by the new list", func() bool { id++; return read(addr, id) == 200 })
-			eventually(t, "readiness in the crowd", func() bool { return request(addr, "/-/ready") == 200 })
+			eventually(t, "a successful request with the new list", func() bool { id++; return sendRead(addr, id) == 200 })
+			eventually(t, "readiness with idle connections", func() bool { return sendRequest(addr, "/-/ready") == 200 })
 		})
 	}
 }
 
-// A crowd is there before the process is, and discovery is not: it gets ready all the same, and serves.
-func TestReadyInACrowdFromTheStart(t *testing.T) {
+// Clients open idle connections from the moment the program listens, and discovery is down. The program must become ready
+// and serve requests.
+func TestReadyDespiteIdleConnectionsAtStart(t *testing.T) {
 	for _, mode := range []string{"push", "on_request"} {
-		for name, first := range map[string]string{"silent": "", "half a request": "GET /re"} {
+		for name, firstBytes := range map[string]string{"silent": "", "partial request": "GET /re"} {
 			t.Run(mode+"/"+name, func(t *testing.T) {
-				disc, _ := follower(t, func() string { return "" })
-				disc.goes()
+				disc, _ := newFakeDiscovery(t, func() string { return "" })
+				disc.close()
 				ln, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
 					t.Fatal(err)
 				}
 				ln.Close()
-				crowd(t, ln.Addr().String(), limit, first)
-				p, addr, _ := limited(t, limit, map[string]any{
-					"discovery": disc.addr, "known": json.RawMessage(listOf(1, endpoint(t, 0).addr)),
-					"settings": settingsOf(mode), "listen": ln.Addr().String(),
+				holdConnections(t, ln.Addr().String(), descriptorLimit, firstBytes)
+				p, addr, _ := startLimited(t, descriptorLimit, map[string]any{
+					"discovery": disc.addr, "known": json.RawMessage(listJSON(1, newEndpoint(t, 0).addr)),
+					"settings": settingsFor(mode), "listen": ln.Addr().String(),
 				})
-				seen := most(t, p)
-				eventually(t, "readiness", func() bool { return request(addr, "/-/ready") == 200 })
+				maxOpen := trackDescriptors(t, p)
+				eventually(t, "readiness", func() bool { return sendRequest(addr, "/-/ready") == 200 })
 				id := 0
-				eventually(t, "a request served", func() bool { id++; return read(addr, id) == 200 })
-				if n := seen(); n >= limit {
-					t.Errorf("%d descriptors held, the limit is %d", n, limit)
+				eventually(t, "a successful request", func() bool { id++; return sendRead(addr, id) == 200 })
+				if n := maxOpen(); n >= descriptorLimit {
+					t.Errorf("%d descriptors open, the limit is %d", n, descriptorLimit)
 				}
 			})
 		}
 	}
 }
 
-// All that takes descriptors at once: idle and half-sent connections, requests out at many endpoints, dials that do not
-// come up, clients that leave, answers that linger, and a discovery that moves while calls to it wait. The sum stays
-// below the limit, so that none of them ever fails for want of one.
+// Everything that uses descriptors happens at once: idle connections and partial requests, requests in flight at many
+// endpoints, dials that hang, clients that disconnect, lingering responses, and discovery address changes during calls.
+// The total must stay below the limit, so that no operation fails for lack of a descriptor.
 func TestDescriptorsStayBelowTheLimit(t *testing.T) {
 	for _, mode := range []string{"push", "on_request"} {
 		t.Run(mode, func(t *testing.T) { fillDescriptors(t, mode) })
 	}
 }
 
+// fillDescriptors runs the test in the given membership mode.
 func fillDescriptors(t *testing.T, mode string) {
 	var addrs []string
 	for range 60 {
-		addrs = append(addrs, endpoint(t, 100*time.Millisecond).addr)
+		addrs = append(addrs, newEndpoint(t, 100*time.Millisecond).addr)
 	}
 	for range 20 {
-		addrs = append(addrs, neverComesUp(t))
+		addrs = append(addrs, unacceptingAddr(t))
 	}
-	disc, _ := follower(t, func() string { return listOf(1, addrs...) })
-	silent := func() string { return newStandIn(t, func(c net.Conn) { io.Copy(io.Discard, c) }).addr }
-	moves := []string{silent(), silent()}
-	p, addr, path := limited(t, limit, map[string]any{
-		"discovery": disc.addr, "known": json.RawMessage(listOf(1, addrs...)), "settings": settingsOf(mode),
+	disc, _ := newFakeDiscovery(t, func() string { return listJSON(1, addrs...) })
+	silent := func() string { return newFakeServer(t, func(c net.Conn) { io.Copy(io.Discard, c) }).addr }
+	discoveryAddrs := []string{silent(), silent()}
+	p, addr, path := startLimited(t, descriptorLimit, map[string]any{
+		"discovery": disc.addr, "known": json.RawMessage(listJSON(1, addrs...)), "settings": settingsFor(mode),
 	})
-	seen := most(t, p)
-	eventually(t, "readiness", func() bool { return request(addr, "/-/ready") == 200 })
-	crowd(t, addr, limit, "")
-	crowd(t, addr, limit/4, "GET /re")
-	crowd(t, addr, limit/4, "BAD\r\n\r\n"+strings.Repeat("x", 100))
+	maxOpen := trackDescriptors(t, p)
+	eventually(t, "readiness", func() bool { return sendRequest(addr, "/-/ready") == 200 })
+	holdConnections(t, addr, descriptorLimit, "")
+	holdConnections(t, addr, descriptorLimit/4, "GET /re")
+	holdConnections(t, addr, descriptorLimit/4, "BAD\r\n\r\n"+strings.Repeat("x", 100))
 	ctx, cancel := context.WithCancel(context.Background())
 	var served atomic.Int32
-	var all sync.WaitGroup
-	for i := range limit / 3 {
-		all.Go(func() {
+	var wg sync.WaitGroup
+	for i := range descriptorLimit / 3 {
+		wg.Go(func() {
 			for n := 0; ctx.Err() == nil; n++ {
-				if n%4 == 3 { // leaves
+				if n%4 == 3 { // disconnects without reading the response
 					if c, err := net.Dial("tcp", addr); err == nil {
 						fmt.Fprintf(c, "GET /read/x HTTP/1.1\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: l-%d-%d\r\n\r\n", i, n)
 						c.Close()
 					}
-				} else if read(addr, fmt.Sprint(i, "-", n)) == 200 {
+				} else if sendRead(addr, fmt.Sprint(i, "-", n)) == 200 {
 					served.Add(1)
 				}
 			}
@@ -393,26 +399,27 @@
 		t.Fatal(err)
 	}
 	for range 8 {
-		for _, to := range moves {
-			moved := strings.ReplaceAll(string(text), disc.addr, to)
-			if err := os.WriteFile(path, []byte(moved), 0o600); err != nil {
+		for _, newAddr := range discoveryAddrs {
+			changed := strings.ReplaceAll(string(text), disc.addr, newAddr)
+			if err := os.WriteFile(path, []byte(changed), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			p.Signal(syscall.SIGHUP)
 			before := served.Load()
-			eventually(t, "requests served", func() bool { return served.Load() >= before+limit/8 })
+			eventually(t, "requests served", func() bool { return served.Load() >= before+descriptorLimit/8 })
 		}
 	}
 	cancel()
-	all.Wait()
-	t.Logf("%d descriptors at most, %d requests served", seen(), served.Load())
-	if n := seen(); n >= limit {
-		t.Errorf("%d descriptors held, the limit is %d", n, limit)
+	wg.Wait()
+	t.Logf("at most %d descriptors open, %d requests served", maxOpen(), served.Load())
+	if n := maxOpen(); n >= descriptorLimit {
+		t.Errorf("%d descriptors open, the limit is %d", n, descriptorLimit)
 	}
 }
 
-// neverComesUp is the address of an endpoint whose backlog is full.
-func neverComesUp(t *testing.T) string {
+// unacceptingAddr returns the address of an endpoint that accepts no connections and whose backlog is full, so that dials
+// hang.
+func unacceptingAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -427,7 +434,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	filler, err := net.Dial("tcp", ln.Addr().String()) // a backlog of 0 has room for one
+	filler, err := net.Dial("tcp", ln.Addr().String()) // a backlog of 0 holds one connection
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/forkline/main_test.go
+++ b/cmd/forkline/main_test.go
@@ -14,39 +14,39 @@
 	"testing"
 )
 
-// folder holds the program, which all tests share.
-var folder string
+// binDir is the directory of the compiled program, which all tests share.
+var binDir string
 
 func TestMain(m *testing.M) {
 	var err error
-	if folder, err = os.MkdirTemp("", "forkline"); err != nil {
+	if binDir, err = os.MkdirTemp("", "forkline"); err != nil {
 		panic(err)
 	}
 	code := m.Run()
-	os.RemoveAll(folder)
+	os.RemoveAll(binDir)
 	os.Exit(code)
 }
 
-var compiled = sync.OnceValues(func() (string, error) {
-	bin := filepath.Join(folder, "forkline")
+var buildOnce = sync.OnceValues(func() (string, error) {
+	bin := filepath.Join(binDir, "forkline")
 	if out, err := exec.Command("go", "build", "-o", bin, ".").CombinedOutput(); err != nil {
 		return "", fmt.Errorf("%w\n%s", err, out)
 	}
 	return bin, nil
 })
 
-// build compiles the program as the deploy file does.
+// build compiles the program with the command that the deployment uses and returns its path.
 func build(t *testing.T) string {
 	t.Helper()
-	bin, err := compiled()
+	bin, err := buildOnce()
 	if err != nil {
 		t.Fatal("build:", err)
 	}
 	return bin
 }
 
-// program runs the program on a configuration until the test ends. It returns the lines of its log.
-func program(t *testing.T, getenv func(string) string) (*exec.Cmd, *bufio.Scanner) {
+// startProgram runs the program with a configuration until the test ends. The scanner returns the lines of its log.
+func startProgram(t *testing.T, getenv func(string) string) (*exec.Cmd, *bufio.Scanner) {
 	t.Helper()
 	cmd := exec.Command(build(t))
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+getenv("RELAY_CONFIG"))
@@ -61,8 +61,8 @@
 	return cmd, bufio.NewScanner(stderr)
 }
 
-// logged reads the log up to a line that matches and returns what the pattern's group holds.
-func logged(t *testing.T, lines *bufio.Scanner, pattern string) string {
+// waitForLog reads the log up to a line that matches the pattern and returns the first submatch.
+func waitForLog(t *testing.T, lines *bufio.Scanner, pattern string) string {
 	t.Helper()
 	for lines.Scan() {
 		if m := regexp.MustCompile(pattern).FindStringSubmatch(lines.Text()); m != nil {
@@ -73,14 +73,14 @@
 	return ""
 }
 
-// The program serves where it is told to, and SIGTERM is a clean exit, not a crash.
+// The program must serve on the configured address and exit with status 0 on SIGTERM.
 func TestProgram(t *testing.T) {
-	cmd, lines := program(t, env(t, strings.Replace(good, "127.0.0.1:8443", "127.0.0.1:0", 1)))
-	addr := logged(t, lines, `serving.* listen=(\S+)`)
-	for status := 0; status != http.StatusOK; { // once it makes do with the list that it was started with
+	cmd, lines := startProgram(t, writeConfig(t, strings.Replace(validConfig, "127.0.0.1:8443", "127.0.0.1:0", 1)))
+	addr := waitForLog(t, lines, `serving.* listen=(\S+)`)
+	for status := 0; status != http.StatusOK; { // ready once it uses the initial list, as discovery does not answer
 		res, err := http.Get("http://" + addr + "/-/ready")
 		if err != nil || res.StatusCode != http.StatusOK && res.StatusCode != http.StatusServiceUnavailable {
-			t.Fatalf("ready: %v, %v", res, err)
+			t.Fatalf("readiness: response %v, error %v", res, err)
 		}
 		status = res.StatusCode
 		res.Body.Close()
@@ -88,25 +88,25 @@
 	if err := cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	for lines.Scan() { // to the end of its log
+	for lines.Scan() { // to the end of the log
 	}
 	if err := cmd.Wait(); err != nil {
-		t.Errorf("SIGTERM: %v", err)
+		t.Errorf("exit after SIGTERM: %v", err)
 	}
 }
 
-// SIGHUP, which ends a program that does not handle it, moves discovery to where the file says now. A file that
-// cannot be used is told in one line and changes nothing. It is legal during a drain as well.
-func TestHangupMovesDiscovery(t *testing.T) {
-	getenv := env(t, strings.Replace(good, "127.0.0.1:8443", "127.0.0.1:0", 1))
-	cmd, lines := program(t, getenv)
-	logged(t, lines, `(serving)`)
-	for _, c := range []struct{ text, signs string }{
+// SIGHUP, which by default ends a program, must apply the discovery address in the file, also during a drain. An invalid
+// file must be reported in one line and change nothing.
+func TestHangupChangesDiscoveryAddress(t *testing.T) {
+	getenv := writeConfig(t, strings.Replace(validConfig, "127.0.0.1:8443", "127.0.0.1:0", 1))
+	cmd, lines := startProgram(t, getenv)
+	waitForLog(t, lines, `(serving)`)
+	for _, c := range []struct{ text, pattern string }{
 		{"{", `(configuration kept)`},
-		{good[:len(good)/2], `(configuration kept)`},
-		{strings.NewReplacer("127.0.0.1:8500", "127.0.0.1:8503", `"sockets":`, `"sockets":1`).Replace(good), `discovery moves.* addr=(127.0.0.1:8503)`},
-		{strings.Replace(good, "127.0.0.1:8500", "127.0.0.1:8501", 1), `discovery moves.* addr=(127.0.0.1:8501)`},
-		{strings.Replace(good, "127.0.0.1:8500", "127.0.0.1:8502", 1), `discovery moves.* addr=(127.0.0.1:8502)`},
+		{validConfig[:len(validConfig)/2], `(configuration kept)`},
+		{strings.NewReplacer("127.0.0.1:8500", "127.0.0.1:8503", `"sockets":`, `"sockets":1`).Replace(validConfig), `discovery moves.* addr=(127.0.0.1:8503)`},
+		{strings.Replace(validConfig, "127.0.0.1:8500", "127.0.0.1:8501", 1), `discovery moves.* addr=(127.0.0.1:8501)`},
+		{strings.Replace(validConfig, "127.0.0.1:8500", "127.0.0.1:8502", 1), `discovery moves.* addr=(127.0.0.1:8502)`},
 	} {
 		if err := os.WriteFile(getenv("RELAY_CONFIG"), []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
@@ -117,7 +117,7 @@
 		if err := cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			t.Fatal(err)
 		}
-		logged(t, lines, c.signs)
+		waitForLog(t, lines, c.pattern)
 	}
 	for lines.Scan() {
 	}
@@ -126,13 +126,13 @@
 	}
 }
 
-// What an operator got wrong is told in one line, and the platform sees that it did not start.
-func TestProgramNamesBadConfiguration(t *testing.T) {
-	getenv := env(t, strings.Replace(good, "8c1f30d27a5be964", "often", 1))
+// An invalid configuration at the start must be reported in one line, with an exit status other than 0.
+func TestProgramReportsInvalidConfiguration(t *testing.T) {
+	getenv := writeConfig(t, strings.Replace(validConfig, "8c1f30d27a5be964", "often", 1))
 	cmd := exec.Command(build(t))
 	cmd.Env = append(os.Environ(), "RELAY_CONFIG="+getenv("RELAY_CONFIG"))
 	out, err := cmd.CombinedOutput()
 	if err == nil || strings.Count(string(out), "\n") != 1 || !strings.Contains(string(out), "seed") {
-		t.Errorf("error %v, told %q", err, out)
+		t.Errorf("error %v, output %q; want a failure and one line that names seed", err, out)
 	}
 }
--- a/cmd/forkline/signals_test.go
+++ b/cmd/forkline/signals_test.go
@@ -13,39 +13,39 @@
 	"testing"
 )
 
-// Signals that cross each other, a start, a drain or a reload.
+// Tests of signals that arrive during a start, a drain or a reload, or at the same time as other signals.
 
-// signalled is a running program and what it takes to signal it.
-type signalled struct {
+// runningProgram is a running program with its log, address and configuration.
+type runningProgram struct {
 	*exec.Cmd
-	lines *bufio.Scanner
-	addr  string
-	path  string // of its configuration
-	text  string // of that
+	lines      *bufio.Scanner
+	addr       string
+	configPath string
+	config     string // the original text of the configuration file
 }
 
-// begin runs the program with a discovery and one known endpoint, or none.
-func begin(t *testing.T, mode, discovery string, known ...string) *signalled {
+// startWithList runs the program with a discovery address and an initial list of the given endpoints.
+func startWithList(t *testing.T, mode, discovery string, endpoints ...string) *runningProgram {
 	t.Helper()
 	text, err := json.Marshal(map[string]any{
 		"name": "n", "listen": "127.0.0.1:0", "seed": "1", "discovery": discovery,
-		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": limit},
-		"known":  json.RawMessage(listOf(1, known...)), "settings": settingsOf(mode),
+		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": descriptorLimit},
+		"known":  json.RawMessage(listJSON(1, endpoints...)), "settings": settingsFor(mode),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	getenv := env(t, string(text))
-	s := &signalled{path: getenv("RELAY_CONFIG"), text: string(text)}
-	s.Cmd, s.lines = program(t, getenv)
-	s.addr = logged(t, s.lines, `serving.* listen=(\S+)`)
+	getenv := writeConfig(t, string(text))
+	s := &runningProgram{configPath: getenv("RELAY_CONFIG"), config: string(text)}
+	s.Cmd, s.lines = startProgram(t, getenv)
+	s.addr = waitForLog(t, s.lines, `serving.* listen=(\S+)`)
 	return s
 }
 
-// hangup moves discovery in the configuration and signals that.
-func (s *signalled) hangup(t *testing.T, from, to string) {
+// changeDiscovery replaces the discovery address in the configuration file and sends SIGHUP.
+func (s *runningProgram) changeDiscovery(t *testing.T, from, to string) {
 	t.Helper()
-	if err := os.WriteFile(s.path, []byte(strings.ReplaceAll(s.text, from, to)), 0o600); err != nil {
+	if err := os.WriteFile(s.configPath, []byte(strings.ReplaceAll(s.config, from, to)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Process.Signal(syscall.SIGHUP); err != nil {
@@ -53,8 +53,8 @@
 	}
 }
 
-// ends reads the log to its end and sees that the program ended by itself and soundly.
-func (s *signalled) ends(t *testing.T) {
+// waitForExit reads the log to its end and checks that the program exits with status 0.
+func (s *runningProgram) waitForExit(t *testing.T) {
 	t.Helper()
 	for s.lines.Scan() {
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-// refusing is an address where nobody listens.
-func refusing(t *testing.T) string {
+// refusingAddr returns an address that refuses connections.
+func refusingAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -74,25 +74,26 @@
 	return ln.Addr().String()
 }
 
-// holding is an endpoint that holds each request until it is told to answer; came tells that one is there.
-func holding(t *testing.T) (addr string, came chan struct{}, release chan struct{}) {
-	came, release = make(chan struct{}, 100), make(chan struct{})
-	return newStandIn(t, func(c net.Conn) {
+// newBlockingEndpoint returns the address of an endpoint that answers a request only after release is closed. It sends on
+// received for each request that arrives.
+func newBlockingEndpoint(t *testing.T) (addr string, received chan struct{}, release chan struct{}) {
+	received, release = make(chan struct{}, 100), make(chan struct{})
+	return newFakeServer(t, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
 			req, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
 			io.Copy(io.Discard, req.Body)
-			came <- struct{}{}
+			received <- struct{}{}
 			<-release
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}
-	}).addr, came, release
+	}).addr, received, release
 }
 
-// Both signals come at once, in either order and several times: what was taken is answered, and the program ends
-// soundly.
+// SIGHUP and SIGTERM arrive at the same time, in either order and several times. The accepted request must be answered
+// and the program must exit with status 0.
 func TestHangupAndTermAtOnce(t *testing.T) {
 	for name, order := range map[string][]syscall.Signal{
 		"HUP TERM": {syscall.SIGHUP, syscall.SIGTERM},
@@ -102,13 +103,13 @@
 		for _, mode := range []string{"push", "on_request"} {
 			t.Run(name+"/"+mode, func(t *testing.T) {
 				t.Parallel()
-				addr, came, release := holding(t)
-				from, to := refusing(t), refusing(t)
-				s := begin(t, mode, from, addr)
-				got := make(chan int)
-				go func() { got <- read(s.addr, "held") }()
-				<-came
-				if err := os.WriteFile(s.path, []byte(strings.ReplaceAll(s.text, from, to)), 0o600); err != nil {
+				addr, received, release := newBlockingEndpoint(t)
+				from, to := refusingAddr(t), refusingAddr(t)
+				s := startWithList(t, mode, from, addr)
+				result := make(chan int)
+				go func() { result <- sendRead(s.addr, "held") }()
+				<-received
+				if err := os.WriteFile(s.configPath, []byte(strings.ReplaceAll(s.config, from, to)), 0o600); err != nil {
 					t.Fatal(err)
 				}
 				for _, signal := range order {
@@ -117,83 +118,84 @@
 					}
 				}
 				close(release)
-				if status := <-got; status != 200 {
-					t.Errorf("status %d for what was taken", status)
+				if status := <-result; status != 200 {
+					t.Errorf("status %d of the accepted request, want 200", status)
 				}
-				s.ends(t)
+				s.waitForExit(t)
 			})
 		}
 	}
 }
 
-// Discovery moves while the program drains: it is watched at the new address, and a request that was taken and has
-// nowhere to go yet goes where the list says that is told there.
-func TestHangupDuringADrain(t *testing.T) {
+// The discovery address changes while the program drains. The program must watch the new address and send the accepted
+// request, for which it had no endpoint so far, to the endpoint that the new list names.
+func TestHangupDuringDrain(t *testing.T) {
 	for _, mode := range []string{"push", "on_request"} {
 		t.Run(mode, func(t *testing.T) {
 			t.Parallel()
-			added := endpoint(t, 0)
-			first, watches := follower(t, func() string { return "" })
-			second, _ := follower(t, func() string { return listOf(2, added.addr) })
-			s := begin(t, mode, first.addr)
+			added := newEndpoint(t, 0)
+			first, watches := newFakeDiscovery(t, func() string { return "" })
+			second, _ := newFakeDiscovery(t, func() string { return listJSON(2, added.addr) })
+			s := startWithList(t, mode, first.addr)
 			eventually(t, "a watch", func() bool { return watches.Load() > 0 })
-			got := make(chan int)
-			go func() { got <- read(s.addr, "waits") }()
+			result := make(chan int)
+			go func() { result <- sendRead(s.addr, "waits") }()
 			s.Process.Signal(syscall.SIGTERM)
-			s.hangup(t, first.addr, second.addr)
-			if status := <-got; status != 200 {
-				t.Errorf("status %d, want that of the endpoint that was told in the drain", status)
+			s.changeDiscovery(t, first.addr, second.addr)
+			if status := <-result; status != 200 {
+				t.Errorf("status %d, want 200 from the endpoint that the list added during the drain", status)
 			}
-			s.ends(t)
+			s.waitForExit(t)
 		})
 	}
 }
 
-// The reading of the configuration hangs when SIGTERM comes, as it may where the file is being replaced: the program
-// serves on meanwhile, drains and ends.
-func TestTermDuringAReload(t *testing.T) {
+// SIGTERM arrives while a read of the configuration file blocks, as it may while the file is being replaced. The program
+// must continue to serve meanwhile, then drain and exit.
+func TestTermDuringReload(t *testing.T) {
 	t.Parallel()
-	s := begin(t, "on_request", refusing(t), endpoint(t, 0).addr)
-	if err := os.Remove(s.path); err != nil {
+	s := startWithList(t, "on_request", refusingAddr(t), newEndpoint(t, 0).addr)
+	if err := os.Remove(s.configPath); err != nil {
 		t.Fatal(err)
 	}
-	if err := syscall.Mkfifo(s.path, 0o600); err != nil {
+	if err := syscall.Mkfifo(s.configPath, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	s.Process.Signal(syscall.SIGHUP)
 	var f *os.File
-	eventually(t, "the file being read", func() bool { // opening it for writing succeeds once it is
+	eventually(t, "the file being read", func() bool { // opening the FIFO for writing succeeds once it has a reader
 		var err error
-		f, err = os.OpenFile(s.path, os.O_WRONLY|syscall.O_NONBLOCK, 0)
+		f, err = os.OpenFile(s.configPath, os.O_WRONLY|syscall.O_NONBLOCK, 0)
 		return err == nil
 	})
 	defer f.Close()
-	if status := read(s.addr, 1); status != 200 {
-		t.Errorf("status %d while the file is read", status)
+	if status := sendRead(s.addr, 1); status != 200 {
+		t.Errorf("status %d while the file is read, want 200", status)
 	}
 	s.Process.Signal(syscall.SIGTERM)
-	s.ends(t)
+	s.waitForExit(t)
 }
 
-// Discovery moves before the program is ready, as it has no list yet: it asks at the new address, and is ready then.
+// The discovery address changes before the program has a list and is ready. It must call the new address and then become
+// ready.
 func TestHangupBeforeReady(t *testing.T) {
 	for _, mode := range []string{"push", "on_request"} {
 		for name, from := range map[string]func() string{
-			"refused": func() string { return refusing(t) },
-			"silent":  func() string { return newStandIn(t, func(c net.Conn) { io.Copy(io.Discard, c) }).addr },
+			"refused": func() string { return refusingAddr(t) },
+			"silent":  func() string { return newFakeServer(t, func(c net.Conn) { io.Copy(io.Discard, c) }).addr },
 		} {
 			t.Run(mode+"/"+name, func(t *testing.T) {
 				t.Parallel()
 				from := from()
-				told, _ := follower(t, func() string { return listOf(2, endpoint(t, 0).addr) })
-				s := begin(t, mode, from)
-				if status := request(s.addr, "/-/ready"); status != http.StatusServiceUnavailable {
-					t.Errorf("status %d with no list", status)
+				disc, _ := newFakeDiscovery(t, func() string { return listJSON(2, newEndpoint(t, 0).addr) })
+				s := startWithList(t, mode, from)
+				if status := sendRequest(s.addr, "/-/ready"); status != http.StatusServiceUnavailable {
+					t.Errorf("status %d without a list, want 503", status)
 				}
-				s.hangup(t, from, told.addr)
-				eventually(t, "readiness", func() bool { return request(s.addr, "/-/ready") == 200 })
+				s.changeDiscovery(t, from, disc.addr)
+				eventually(t, "readiness", func() bool { return sendRequest(s.addr, "/-/ready") == 200 })
 				s.Process.Signal(syscall.SIGTERM)
-				s.ends(t)
+				s.waitForExit(t)
 			})
 		}
 	}
