--- a/cmd/forkline/descriptors_test.go
+++ b/cmd/forkline/descriptors_test.go
@@ -89,7 +89,7 @@
 	return len(entries)
 }
 
-// fakeServer serves connections on one address. It can be closed and can then listen on the same address again.
+// fakeServer serves connections on one address. It can be stopped and then started again on the same address.
 type fakeServer struct {
 	t     *testing.T
 	addr  string
@@ -101,13 +101,13 @@
 
 func newFakeServer(t *testing.T, serve func(net.Conn)) *fakeServer {
 	s := &fakeServer{t: t, addr: "127.0.0.1:0", serve: serve}
-	s.listen()
+	s.start()
 	s.addr = s.ln.Addr().String()
-	t.Cleanup(s.close)
+	t.Cleanup(s.stop)
 	return s
 }
 
-func (s *fakeServer) listen() {
+func (s *fakeServer) start() {
 	s.t.Helper()
 	ln, err := net.Listen("tcp", s.addr)
 	if err != nil {
@@ -130,7 +130,7 @@
 	}()
 }
 
-func (s *fakeServer) close() {
+func (s *fakeServer) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ln.Close()
@@ -269,7 +269,7 @@
 				eventually(t, "readiness", func() bool { return sendRequest(addr, "/-/ready") == 200 })
 				eventually(t, "a watch", func() bool { return watches.Load() > 0 })
 				maxOpen := trackDescriptors(t, p)
-				disc.close()
+				disc.stop()
 				holdConnections(t, addr, descriptorLimit, firstBytes)
 				eventually(t, "more than half of the descriptors in use", func() bool { return maxOpen() > descriptorLimit/2 })
 				eventually(t, "readiness with idle connections", func() bool { return sendRequest(addr, "/-/ready") == 200 })
@@ -281,9 +281,9 @@
 				waitServed("while discovery is down")
 				addedListed.Store(true)
 				before := watches.Load()
-				disc.listen()
+				disc.start()
 				eventually(t, "a watch after discovery is back", func() bool { return watches.Load() > before })
-				old.close() // so that only the endpoint in the new list can serve
+				old.stop() // so that only the endpoint in the new list can serve
 				waitServed("with the new list")
 				eventually(t, "readiness at the end", func() bool { return sendRequest(addr, "/-/ready") == 200 })
 				if n := maxOpen(); n >= descriptorLimit {
@@ -301,16 +301,16 @@
 		t.Run(mode, func(t *testing.T) {
 			old, added := newEndpoint(t, 0), newEndpoint(t, 0)
 			disc, watches := newFakeDiscovery(t, func() string { return listJSON(2, added.addr) })
-			disc.close()
+			disc.stop()
 			_, addr, _ := startLimited(t, descriptorLimit/2, map[string]any{
 				"discovery": disc.addr, "known": json.RawMessage(listJSON(1, old.addr)), "settings": settingsFor(mode),
 			})
 			eventually(t, "readiness", func() bool { return sendRequest(addr, "/-/ready") == 200 })
 			ended := holdConnections(t, addr, descriptorLimit, "")
 			eventually(t, "connections to be closed for lack of descriptors", func() bool { return ended.Load() > descriptorLimit })
-			disc.listen()
+			disc.start()
 			eventually(t, "a watch", func() bool { return watches.Load() > 0 })
-			old.close()
+			old.stop()
 			id := 0
 			eventually(t, "a successful request with the new list", func() bool { id++; return sendRead(addr, id) == 200 })
 			eventually(t, "readiness with idle connections", func() bool { return sendRequest(addr, "/-/ready") == 200 })
@@ -325,7 +325,7 @@
 		for name, firstBytes := range map[string]string{"silent": "", "partial request": "GET /re"} {
 			t.Run(mode+"/"+name, func(t *testing.T) {
 				disc, _ := newFakeDiscovery(t, func() string { return "" })
-				disc.close()
+				disc.stop()
 				ln, err := net.Listen("tcp", "127.0.0.1:0")
 				if err != nil {
 					t.Fatal(err)
