--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -29,7 +29,8 @@
 		{"name": "pay", "aim": 1000, "giveUp": 2500, "effect": "non_idempotent"},
 		{"name": "add", "aim": 1000, "giveUp": 2500, "effect": "idempotency_key", "group": "cell", "dedupWindow": 10000}]}`
 
-// config is one of a sidecar whose list holds the given addresses; its discovery answers nothing.
+// config returns the configuration of a sidecar whose initial list has the given addresses and whose discovery never
+// answers.
 func config(t *testing.T, addrs ...string) Config {
 	t.Helper()
 	site, err := wire.ParseSite([]byte(settings))
@@ -44,8 +45,8 @@
 	return cfg
 }
 
-// nowhere is the address of a discovery that answers nothing, for as long as the tests run: a sidecar may ask on for a
-// while after its test, and must not reach what another one listens with then.
+// nowhere returns the address of a discovery that never answers. Its listener stays open until the program ends, because
+// a sidecar may call discovery for a while after its test and must not reach a listener of another test.
 var nowhere = sync.OnceValue(func() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -54,7 +55,7 @@
 	return ln.Addr().String()
 })
 
-// start runs a sidecar until the test ends.
+// start runs a sidecar until the test ends. It uses the initial list at once.
 func start(t *testing.T, cfg Config) *Sidecar {
 	t.Helper()
 	s, err := New(cfg)
@@ -68,7 +69,7 @@
 	return s
 }
 
-// dial opens a caller's connection to the sidecar.
+// dial opens a client connection to the sidecar.
 func dial(t *testing.T, s *Sidecar) *client {
 	t.Helper()
 	c, err := net.Dial("tcp", s.listener.Addr().String())
@@ -79,22 +80,23 @@
 	return &client{c, bufio.NewReader(c), "id"}
 }
 
+// client is a client connection to a sidecar.
 type client struct {
 	net.Conn
 	reader *bufio.Reader
-	id     string // of the requests it sends
+	id     string // X-Request-Id of its requests
 }
 
-// send writes one request.
+// send writes a request.
 func (c *client) send(method, class, body string, headers ...string) {
 	text := fmt.Sprintf("%s /%s/x?a=%%2F HTTP/1.1\r\nHost: backend.local\r\nX-Class: %s\r\n", method, class, class)
 	for _, h := range append([]string{"X-Request-Id: " + c.id}, headers...) {
 		text += h + "\r\n"
 	}
-	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body) // the answer tells how that went
+	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body) // a write error shows when the response is read
 }
 
-// answer reads one answer whole.
+// answer reads a complete response.
 func (c *client) answer(t *testing.T) (*http.Response, string) {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(long))
@@ -109,17 +111,17 @@
 	return res, string(body)
 }
 
-// echo serves every request with what came.
+// echo answers every request with its method, URI, ID and idempotency key.
 func echo(_ int, c net.Conn, r *http.Request) bool {
 	body := fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Header.Get("X-Request-Id"), " ", r.Header.Get("Idempotency-Key"))
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	return true
 }
 
-func TestServes(t *testing.T) {
+func TestServesRequests(t *testing.T) {
 	s := start(t, config(t, script(t, echo).Addr().String()))
 	c := dial(t, s)
-	for range 3 { // on one kept connection
+	for range 3 { // on one connection
 		c.send("GET", "read", "", "X-Deadline: 2.000")
 		if res, body := c.answer(t); res.StatusCode != 200 || body != "GET /read/x?a=%2F id " {
 			t.Fatalf("status %d, body %q", res.StatusCode, body)
@@ -131,8 +133,8 @@
 	}
 }
 
-// What is malformed gets a plain 4xx and goes nowhere.
-func TestMalformedRequestsGoNowhere(t *testing.T) {
+// An invalid request must get a 4xx response and must not be forwarded.
+func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	requests := make(chan struct{}, 100)
 	s := start(t, config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
 		requests <- struct{}{}
@@ -144,7 +146,7 @@
 		want                      int
 	}{
 		{"unknown class", "GET", "nothing", "", nil, 404},
-		{"well formed", "GET", "read", "", nil, 200},
+		{"valid", "GET", "read", "", nil, 200},
 		{"two classes", "GET", "read", "", []string{"X-Class: pay"}, 400},
 		{"two ids", "GET", "read", "", []string{"X-Request-Id: other"}, 400},
 		{"no time left", "GET", "read", "", []string{"X-Deadline: 0"}, 400},
@@ -157,19 +159,20 @@
 		{"deadline that is no number", "GET", "read", "", []string{"X-Deadline: NaN"}, 400},
 		{"long body", "POST", "pay", strings.Repeat("x", maxBodyBytes+1), nil, 413},
 	} {
-		caller := dial(t, s)
-		caller.send(c.method, c.class, c.body, c.headers...)
-		if res, _ := caller.answer(t); res.StatusCode != c.want {
+		client := dial(t, s)
+		client.send(c.method, c.class, c.body, c.headers...)
+		if res, _ := client.answer(t); res.StatusCode != c.want {
 			t.Errorf("%s: status %d, want %d", c.name, res.StatusCode, c.want)
 		}
 	}
 	if n := len(requests); n != 1 {
-		t.Errorf("%d requests went on, want the one that is well formed", n)
+		t.Errorf("%d requests were forwarded, want only the valid one", n)
 	}
 }
 
-// The module must be told a due time that leaves room for the way back, and never one after the class's own.
-func TestDueTimes(t *testing.T) {
+// The deadline that the module gets must leave time for the response to reach the client, and must not exceed the timeout
+// of the class.
+func TestCallDeadlines(t *testing.T) {
 	cfg := config(t)
 	l, err := newLoop(&cfg, newUpstream(forkline.Limits{}, 0, 4))
 	if err != nil {
@@ -180,88 +183,88 @@
 		header string
 		want   float64 // ms from the arrival
 	}{{"2.000", 1950}, {"0.100", 90}, {"", 2450}, {"60", 2450}} {
-		got, _, complaint := f.parse(message{
+		got, _, reason := f.parse(message{
 			startLine: "GET /read/x HTTP/1.1",
 			header:    http.Header{"X-Class": {"read"}, "X-Request-Id": {"1"}, "X-Deadline": {c.header}},
 		})
 		if got == nil {
-			t.Fatalf("%q: %s", c.header, complaint)
+			t.Fatalf("X-Deadline %q: %s", c.header, reason)
 		}
 		if math.Abs(got.answerWithin-c.want) > 0.01 {
-			t.Errorf("%q: due after %v ms, want %v", c.header, got.answerWithin, c.want)
+			t.Errorf("X-Deadline %q: deadline after %v ms, want %v", c.header, got.answerWithin, c.want)
 		}
 	}
 }
 
-// An unsafe request whose connection broke may have run: it is neither sent again nor refused.
-func TestUnsafeIsSentOnce(t *testing.T) {
+// An unsafe request whose connection broke may have run. It must be neither sent again nor refused.
+func TestUnsafeRequestIsSentOnce(t *testing.T) {
 	requests := make(chan struct{}, 10)
 	broken := func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false }
 	s := start(t, config(t, script(t, broken).Addr().String(), script(t, broken).Addr().String()))
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
 	if res, _ := c.answer(t); res.StatusCode != statusFailed || len(requests) != 1 {
-		t.Errorf("status %d after %d sends, want a failure after one", res.StatusCode, len(requests))
+		t.Errorf("status %d after %d attempts, want a failure after one", res.StatusCode, len(requests))
 	}
 }
 
-// One that was turned away never ran: it goes to another endpoint, here one that serves it.
-func TestTurnedAwayGoesElsewhere(t *testing.T) {
-	full := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+// A request that an endpoint rejects has not run. It must be sent to another endpoint, here one that serves it.
+func TestRejectedRequestIsSentElsewhere(t *testing.T) {
+	rejecting := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	s := start(t, config(t, full.Addr().String(), script(t, echo).Addr().String()))
+	s := start(t, config(t, rejecting.Addr().String(), script(t, echo).Addr().String()))
 	c := dial(t, s)
 	for i := range 4 {
-		c.id = fmt.Sprint(i) // one that may have run is not taken again
+		c.id = fmt.Sprint(i) // the ID of a request that may have run is not accepted again
 		c.send("POST", "pay", "1")
 		if res, _ := c.answer(t); res.StatusCode != 200 {
-			t.Errorf("status %d", res.StatusCode)
+			t.Errorf("status %d, want 200 from the other endpoint", res.StatusCode)
 		}
 	}
 }
 
-// A refusal says when to come back, and comes long before the deadline.
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
-	full := func(_ int, c net.Conn, _ *http.Request) bool {
+// A refusal must state when to retry, and must be sent long before the deadline.
+func TestRefusalHasRetryAfter(t *testing.T) {
+	reject := func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	s := start(t, config(t, script(t, full).Addr().String()))
+	s := start(t, config(t, script(t, reject).Addr().String()))
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
 	res, _ := c.answer(t)
 	after, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 	if res.StatusCode != statusRefused || err != nil || after <= 0 {
-		t.Errorf("status %d, Retry-After %q", res.StatusCode, res.Header.Get("Retry-After"))
+		t.Errorf("status %d, Retry-After %q; want a refusal with a positive delay", res.StatusCode, res.Header.Get("Retry-After"))
 	}
 }
 
-// A client that leaves ends the attempt: its endpoint must not work for nobody.
-func TestClientGone(t *testing.T) {
-	came, left := make(chan struct{}), make(chan struct{})
+// When the client disconnects, its attempt must be cancelled so that the endpoint does no useless work.
+func TestClientDisconnectCancelsAttempt(t *testing.T) {
+	received, disconnected := make(chan struct{}), make(chan struct{})
 	s := start(t, config(t, script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		close(came)
+		close(received)
 		c.Read(make([]byte, 1))
-		close(left)
+		close(disconnected)
 		return false
 	}).Addr().String()))
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	<-came
+	<-received
 	c.Close()
 	select {
-	case <-left:
+	case <-disconnected:
 	case <-time.After(long):
-		t.Fatal("the attempt stayed out")
+		t.Fatal("the attempt was not cancelled")
 	}
-	for calls := 1; calls != 0; { // and nothing of the request is kept
+	for calls := 1; calls != 0; { // the call must be forgotten too
 		s.loop.postAndWait(func() { calls = len(s.loop.calls) })
 	}
 }
 
-// An endpoint that never answers: the caller still gets its one answer in time, and as a failure.
+// An endpoint never answers. The client must still get one response in time, a failure.
 func TestSilentEndpoint(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -273,8 +276,8 @@
 	}
 }
 
-// The backstop refuses only what cannot have run, and answers once.
-func TestBackstopIsHonest(t *testing.T) {
+// The backstop must refuse only calls that cannot have run, and must answer once.
+func TestBackstopRefusesOnlyCallsThatCannotHaveRun(t *testing.T) {
 	cfg := config(t)
 	l, err := newLoop(&cfg, newUpstream(forkline.Limits{}, 0, 4))
 	if err != nil {
@@ -286,99 +289,99 @@
 	}{
 		"nothing sent": {&call{}, statusRefused},
 		"may have run": {&call{mayHaveRun: true}, statusFailed},
-		"still out":    {&call{openAttempts: 1, attempts: []*attempt{newAttempt(time.Time{})}}, statusFailed},
+		"in flight":    {&call{openAttempts: 1, attempts: []*attempt{newAttempt(time.Time{})}}, statusFailed},
 	} {
 		var got []response
-		c.call.respond = func(a response) { got = append(got, a) }
+		c.call.respond = func(r response) { got = append(got, r) }
 		l.abort(c.call)
 		l.abort(c.call)
 		if len(got) != 1 || got[0].status != c.want {
-			t.Errorf("%s: answers %v, want one of status %d", name, got, c.want)
+			t.Errorf("%s: responses %v, want one with status %d", name, got, c.want)
 		}
 		for _, a := range c.call.attempts {
 			if a.mayWrite() {
-				t.Errorf("%s: an attempt could still go out", name)
+				t.Errorf("%s: an attempt may still be written", name)
 			}
 		}
 	}
 }
 
-// Ready is told only once there is an endpoint to send to. Where lists are pushed, the list of before is none to send
-// by until the agent has spoken or has been waited for.
+// The sidecar must report ready only once it has a ready server. Where the list is pushed, the initial list does not count
+// until discovery has answered or has not answered for cachedListDelay.
 func TestReady(t *testing.T) {
 	for want, addrs := range map[int][]string{503: nil, 200: {"127.0.0.1:1"}} {
 		s, err := New(config(t, addrs...))
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.cachedListDelay = time.Hour // the test says when it is over
+		s.cachedListDelay = time.Hour // the test uses the initial list itself
 		s.front.drainAcceptTime = 0
 		go s.Run(t.Context())
 		for _, c := range []struct {
 			when string
 			want int
-		}{{"before the old list is used", 503}, {"at once after", want}} {
+		}{{"before the initial list is used", 503}, {"right after", want}} {
 			res, err := http.Get("http://" + s.listener.Addr().String() + "/-/ready")
 			if err != nil || res.StatusCode != c.want {
-				t.Errorf("%v, %v %s with %d endpoints, want %d", res, err, c.when, len(addrs), c.want)
+				t.Errorf("response %v, error %v %s with %d endpoints, want status %d", res, err, c.when, len(addrs), c.want)
 			}
 			s.loop.postAndWait(s.loop.useCachedList)
 		}
 	}
 }
 
-// At SIGTERM new connections go on being served, and those that callers hold as long as there is time; then they
-// end, what was taken is finished, and only then does the program end.
+// After SIGTERM new connections must still be served, and existing ones as long as there is time. Then connections must be
+// closed, the calls in flight answered, and only then may the program end.
 func TestDrain(t *testing.T) {
-	came, release := make(chan struct{}), make(chan struct{})
+	received, release := make(chan struct{}), make(chan struct{})
 	cfg := config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Hold") != "" {
-			close(came)
+			close(received)
 			<-release
 		}
 		return echo(n, c, r)
 	}).Addr().String())
-	cfg.Site.Settings.Classes[0].Timeout = 5000 // what is held must not end by its own time
+	cfg.Site.Settings.Classes[0].Timeout = 5000 // the held call must not time out
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.cachedListDelay = 0
-	s.front.drainAcceptTime = 2 * time.Second // for a test on a busy machine
+	s.front.drainAcceptTime = 2 * time.Second // allows for a busy machine
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error)
-	go func() { ended <- s.Run(ctx) }()
-	slow := dial(t, s)
-	slow.send("GET", "read", "", "X-Hold: 1")
-	<-came
+	runErr := make(chan error)
+	go func() { runErr <- s.Run(ctx) }()
+	slowClient := dial(t, s)
+	slowClient.send("GET", "read", "", "X-Hold: 1")
+	<-received
 	cancel()
 	for !s.front.draining.Load() {
 		time.Sleep(time.Millisecond)
 	}
-	late := dial(t, s)
-	late.id = "late"
-	for range 2 { // on a connection that is kept, as its caller may have no other sidecar meanwhile
-		late.send("GET", "read", "")
-		if res, _ := late.answer(t); res.StatusCode != 200 || res.Close {
-			t.Errorf("status %d, close %v: a late caller must be served", res.StatusCode, res.Close)
+	lateClient := dial(t, s)
+	lateClient.id = "late"
+	for range 2 { // the connection is kept, as the client may have no other sidecar
+		lateClient.send("GET", "read", "")
+		if res, _ := lateClient.answer(t); res.StatusCode != 200 || res.Close {
+			t.Errorf("status %d, close %v; want 200 and a kept connection for a late client", res.StatusCode, res.Close)
 		}
 	}
-	late.ends(t)
+	lateClient.ends(t)
 	close(release)
-	if res, _ := slow.answer(t); res.StatusCode != 200 {
-		t.Errorf("status %d for what was taken before", res.StatusCode)
+	if res, _ := slowClient.answer(t); res.StatusCode != 200 {
+		t.Errorf("status %d of the call from before SIGTERM, want 200", res.StatusCode)
 	}
-	if err := <-ended; err != nil {
+	if err := <-runErr; err != nil {
 		t.Error(err)
 	}
 }
 
-// What an endpoint holds too long is answered before SIGKILL comes.
-func TestDrainGivesUpInTime(t *testing.T) {
-	came, release := make(chan struct{}), make(chan struct{})
+// A call whose endpoint does not answer in time must be answered by the sidecar before SIGKILL.
+func TestDrainAbortsCallsInTime(t *testing.T) {
+	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	cfg := config(t, script(t, func(int, net.Conn, *http.Request) bool { close(came); <-release; return false }).Addr().String())
-	cfg.Site.Settings.Classes[1].Timeout = 60000 // its own time would not end the wait
+	cfg := config(t, script(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String())
+	cfg.Site.Settings.Classes[1].Timeout = 60000 // the call itself does not time out
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -389,29 +392,30 @@
 	go s.front.serve(s.listener)
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
-	<-came
-	ended := make(chan struct{})
-	go func() { s.front.drain(s.listener, defaultDrainAcceptTime); close(ended) }()
+	<-received
+	drained := make(chan struct{})
+	go func() { s.front.drain(s.listener, defaultDrainAcceptTime); close(drained) }()
 	if res, _ := c.answer(t); res.StatusCode != statusFailed {
 		t.Errorf("status %d, want a failure", res.StatusCode)
 	}
-	<-ended
+	<-drained
 }
 
-// What comes while connections are closed goes to another sidecar, or to nobody: one that is alone goes on for longer.
-func TestALoneSidecarServesOn(t *testing.T) {
-	closing := func(copies int) time.Duration {
+// While connections are closed, requests go to another sidecar or are lost. A sidecar without peers must therefore accept
+// requests for longer.
+func TestSingleSidecarAcceptsLonger(t *testing.T) {
+	closeAfter := func(copies int) time.Duration {
 		s := &Sidecar{cfg: Config{}}
 		s.cfg.Site.Settings = forkline.Settings{Copies: copies, Classes: []forkline.Class{{Timeout: 6000}}}
 		return s.drainLimit() - newFront(nil, &s.cfg.Site.Settings, 1).finishTime()
 	}
-	if alone, untold, one := closing(1), closing(0), closing(2); alone != 2850*time.Millisecond || untold != alone || one >= alone {
-		t.Errorf("connections close %v after SIGTERM alone, %v untold and %v as one of two", alone, untold, one)
+	if single, unstated, ofTwo := closeAfter(1), closeAfter(0), closeAfter(2); single != 2850*time.Millisecond || unstated != single || ofTwo >= single {
+		t.Errorf("connections close %v after SIGTERM with 1 copy, %v with an unstated number and %v with 2", single, unstated, ofTwo)
 	}
 }
 
-// Callers that hold connections for nothing must not keep others out.
-func TestQuietCallersGiveWay(t *testing.T) {
+// Clients with idle connections must not keep others out.
+func TestIdleClientsAreEvicted(t *testing.T) {
 	cfg := config(t, script(t, echo).Addr().String())
 	cfg.Sockets = MinSockets
 	s, err := New(cfg)
@@ -419,7 +423,7 @@
 		t.Fatal(err)
 	}
 	s.cachedListDelay = 0
-	s.front.requestTimeout = time.Hour // which would end them too, but late
+	s.front.requestTimeout = time.Hour // the timeout alone would close them too late
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go s.Run(ctx)
@@ -433,24 +437,24 @@
 	}
 }
 
-// A client that ends its sending has gone; what it can still read must be no answer, least of all the empty 200
-// that net/http gives for a handler that returns.
-func TestGoneClientIsNotServed(t *testing.T) {
-	came, release := make(chan struct{}), make(chan struct{})
+// A client that shuts down its sending side has disconnected. It must not get a response, in particular not the empty 200
+// that net/http sends when a handler returns.
+func TestNoResponseAfterClientShutdown(t *testing.T) {
+	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	s := start(t, config(t, script(t, func(int, net.Conn, *http.Request) bool { close(came); <-release; return false }).Addr().String()))
+	s := start(t, config(t, script(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String()))
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	<-came
+	<-received
 	c.Conn.(*net.TCPConn).CloseWrite()
 	c.SetReadDeadline(time.Now().Add(long))
 	if text, err := io.ReadAll(c); len(text) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("answer %q, error %v", text, err)
+		t.Errorf("response %q, error %v; want a closed connection without a response", text, err)
 	}
 }
 
-// discover serves watches; each gets what f writes until it returns.
-func discover(t *testing.T, f func(since string, tell func(List), beat func())) string {
+// discover starts a discovery server and returns its address. It calls f for each watch, which ends when f returns.
+func discover(t *testing.T, f func(since string, send func(List), keepAlive func())) string {
 	t.Helper()
 	return script(t, func(_ int, c net.Conn, r *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -466,37 +470,37 @@
 	}).Addr().String()
 }
 
-// A watch brings an endpoint in, and a drain that it tells reaches the module before anything else is sent.
+// A watch adds an endpoint. A drain that it reports must reach the module before anything else is sent.
 func TestWatch(t *testing.T) {
 	next, done := make(chan string), make(chan struct{})
 	defer close(done)
 	addr := script(t, echo).Addr().String()
 	cfg := config(t)
 	cfg.InitialList.Rev = 7
-	cfg.Discovery = discover(t, func(since string, tell func(List), beat func()) {
-		beat()
+	cfg.Discovery = discover(t, func(since string, send func(List), keepAlive func()) {
+		keepAlive()
 		for rev := int64(8); ; rev++ {
 			select {
 			case state := <-next:
-				tell(List{Rev: rev, Targets: []Target{{UID: "s-" + since, Endpoint: addr, Zone: "z", State: state}}})
+				send(List{Rev: rev, Targets: []Target{{UID: "s-" + since, Endpoint: addr, Zone: "z", State: state}}})
 			case <-done:
 				return
 			}
 		}
 	})
 	s := start(t, cfg)
-	usable := func(want int) {
+	awaitReadyServers := func(want int) {
 		t.Helper()
 		for got, end := -1, time.Now().Add(long); got != want; {
 			if s.loop.postAndWait(func() { got = s.loop.readyServers }); time.Now().After(end) {
-				t.Fatalf("%d usable, want %d", got, want)
+				t.Fatalf("%d ready servers, want %d", got, want)
 			}
 		}
 	}
 	next <- "Ready"
-	usable(1)
+	awaitReadyServers(1)
 	if id := newDirectory(nil, nil).id("s-7"); s.loop.upstream.find(id) == nil {
-		t.Error("the watch did not begin at the version that was known")
+		t.Error("the watch did not start at the version of the initial list")
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
@@ -504,26 +508,26 @@
 		t.Errorf("status %d", res.StatusCode)
 	}
 	next <- "Terminating"
-	usable(0)
+	awaitReadyServers(0)
 	c.send("GET", "read", "", "X-Deadline: 0.200")
 	if res, _ := c.answer(t); res.StatusCode != statusRefused {
 		t.Errorf("status %d with every endpoint draining, want a refusal", res.StatusCode)
 	}
 	next <- "Gone"
-	for gone := false; !gone; {
-		s.loop.postAndWait(func() { gone = len(s.loop.serverReady) == 0 && len(s.loop.directory.ids) == 0 })
+	for removed := false; !removed; {
+		s.loop.postAndWait(func() { removed = len(s.loop.serverReady) == 0 && len(s.loop.directory.ids) == 0 })
 	}
 }
 
-// A release replaces the endpoints one by one. A sidecar that gave up a part of what may be out with each that
-// goes, and got nothing for each that comes, would refuse what the new ones could serve.
-func TestReleaseKeepsTheRoom(t *testing.T) {
-	const most = 20 // calls out at once with four endpoints, till they are measured
+// A rolling release replaces the endpoints one by one. If the concurrency limit decreased with each endpoint that leaves
+// and did not increase with each that joins, the sidecar would refuse calls that the new endpoints could serve.
+func TestRollingReleaseKeepsTheLimit(t *testing.T) {
+	const limit = 20 // concurrent calls to four endpoints before their latency is measured
 	var held atomic.Int32
 	full, done := make(chan struct{}), make(chan struct{})
 	defer close(done)
 	hold := func(n int, c net.Conn, r *http.Request) bool {
-		if held.Add(1) == most {
+		if held.Add(1) == limit {
 			close(full)
 		}
 		<-full
@@ -534,12 +538,12 @@
 		addr := script(t, hold).Addr().String()
 		cfg.InitialList.Targets = append(cfg.InitialList.Targets, Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", State: "Ready"})
 	}
-	cfg.Discovery = discover(t, func(_ string, tell func(List), _ func()) {
+	cfg.Discovery = discover(t, func(_ string, send func(List), _ func()) {
 		for i, old := range cfg.InitialList.Targets {
 			old.State = "Terminating"
-			tell(List{Rev: int64(2*i + 1), Targets: []Target{old}})
+			send(List{Rev: int64(2*i + 1), Targets: []Target{old}})
 			addr := script(t, hold).Addr().String()
-			tell(List{Rev: int64(2*i + 2), Targets: []Target{{UID: fmt.Sprint("n-", i), Endpoint: addr, Zone: "z", State: "Ready"}}})
+			send(List{Rev: int64(2*i + 2), Targets: []Target{{UID: fmt.Sprint("n-", i), Endpoint: addr, Zone: "z", State: "Ready"}}})
 		}
 		<-done
 	})
@@ -548,23 +552,23 @@
 	for listed := false; !listed; {
 		s.loop.postAndWait(func() { listed = s.loop.serverReady[last] })
 	}
-	callers := make([]*client, most)
-	for i := range callers {
-		callers[i] = dial(t, s)
-		callers[i].id = fmt.Sprint("id-", i)
-		callers[i].send("GET", "read", "")
+	clients := make([]*client, limit)
+	for i := range clients {
+		clients[i] = dial(t, s)
+		clients[i].id = fmt.Sprint("id-", i)
+		clients[i].send("GET", "read", "")
 	}
-	for _, c := range callers {
+	for _, c := range clients {
 		if res, _ := c.answer(t); res.StatusCode != 200 {
-			t.Fatalf("status %d with %d calls held, want %d", res.StatusCode, held.Load(), most)
+			t.Fatalf("status %d with %d calls in flight, want 200 with %d", res.StatusCode, held.Load(), limit)
 		}
 	}
 }
 
-// When one of four endpoints fails and is left, the others must not be given its part of what may be out: several
-// copies that do so drive them over, and they stay slow for long.
-func TestFailingEndpointTakesItsRoom(t *testing.T) {
-	const all, before, most = 30, 12, 15
+// When one of four endpoints fails and is ejected, its part of the concurrency limit must not pass to the others. If
+// several copies did so, they would overload the others, which then stay slow for long.
+func TestEjectedEndpointReducesTheLimit(t *testing.T) {
+	const total, beforeEjection, limit = 30, 12, 15
 	var held, failed atomic.Int32
 	done := make(chan struct{})
 	hold := func(n int, c net.Conn, r *http.Request) bool {
@@ -579,11 +583,11 @@
 	}
 	cfg := config(t, script(t, hold).Addr().String(), script(t, hold).Addr().String(), script(t, hold).Addr().String(),
 		script(t, fail).Addr().String())
-	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds()) // what is held stays so
+	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds()) // calls in flight stay in flight
 	s := start(t, cfg)
 	defer close(done)
 	var refused atomic.Int32
-	ask := func(i int) {
+	sendCall := func(i int) {
 		c := dial(t, s)
 		c.id = fmt.Sprint("id-", i)
 		c.send("GET", "read", "")
@@ -593,32 +597,32 @@
 			}
 		}()
 	}
-	settled := func(n int) {
+	awaitHeldOrRefused := func(n int) {
 		t.Helper()
 		for end := time.Now().Add(long); int(held.Load()+refused.Load()) < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("%d held and %d refused of %d", held.Load(), refused.Load(), n)
+				t.Fatalf("%d in flight and %d refused of %d calls", held.Load(), refused.Load(), n)
 			}
 		}
 	}
-	for i := range before {
-		ask(i)
-		settled(i + 1)
+	for i := range beforeEjection {
+		sendCall(i)
+		awaitHeldOrRefused(i + 1)
 	}
 	if failed.Load() < 3 || refused.Load() > 0 {
-		t.Fatalf("%d failed and %d refused, want the one endpoint to be left by now", failed.Load(), refused.Load())
+		t.Fatalf("%d failed and %d refused, want the failing endpoint to be ejected and none refused", failed.Load(), refused.Load())
 	}
-	for i := before; i < all; i++ {
-		ask(i)
+	for i := beforeEjection; i < total; i++ {
+		sendCall(i)
 	}
-	// With the room of all four 20 are held. On a very busy machine 16 were seen.
-	if settled(all); held.Load() > most+2 {
-		t.Errorf("%d calls held at three endpoints, want %d", held.Load(), most)
+	// With the limit of all four endpoints, 20 would be in flight. On a very busy machine 16 were observed.
+	if awaitHeldOrRefused(total); held.Load() > limit+2 {
+		t.Errorf("%d calls in flight at three endpoints, want %d", held.Load(), limit)
 	}
 }
 
-// A whole list takes away what it does not name.
-func TestWholeListReplaces(t *testing.T) {
+// A full list must remove the servers that it does not contain.
+func TestFullListReplacesServers(t *testing.T) {
 	cfg := config(t, "127.0.0.1:1", "127.0.0.1:2")
 	l, err := newLoop(&cfg, newUpstream(forkline.Limits{}, 0, 4))
 	if err != nil {
@@ -628,37 +632,37 @@
 	first, second := l.directory.id("s-0"), l.directory.id("s-1")
 	l.updateList(List{Targets: cfg.InitialList.Targets[1:]}, forkline.ListFull)
 	if l.readyServers != 1 || l.upstream.find(first) != nil || l.upstream.find(second) == nil {
-		t.Errorf("%d usable of one that is listed", l.readyServers)
+		t.Errorf("%d ready servers, want the one that is listed", l.readyServers)
 	}
 }
 
-// A watch that says nothing for several beats is dead, however open its connection: it ends, is reported,
-// and a pushed list is watched again from the version that is held.
-func TestSilentWatchIsTakenUpAgain(t *testing.T) {
+// A watch without activity for several keep-alive intervals must end even if its connection stays open. A pushed list must
+// then be watched again from the latest version.
+func TestSilentWatchIsRestarted(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
 	calls := make(chan string, 10)
 	d := &discovery{policy: unhurried(30 * time.Millisecond), rev: 3, onList: func(List) {}, onFailed: func() {}}
-	d.addr = discover(t, func(since string, tell func(List), beat func()) {
+	d.addr = discover(t, func(since string, send func(List), keepAlive func()) {
 		calls <- since
-		tell(List{Rev: 4})
+		send(List{Rev: 4})
 		<-done
 	})
 	go d.follow(t.Context())
 	if first, second := <-calls, <-calls; first != "3" || second != "4" {
-		t.Errorf("watches since %s and %s, want 3 and 4", first, second)
+		t.Errorf("watches start at versions %s and %s, want 3 and 4", first, second)
 	}
 }
 
-// When discovery moves, the old watch is listened to until the new one is answered, then ends, and its end is
-// no failure that the module should hear of: the list has no gap. A further move before that overtakes the first.
-func TestMoveLeavesNoGap(t *testing.T) {
+// When the discovery address changes, the old watch must stay active until the new one is answered, so that no list change
+// is missed. Its end must not be reported as a failure. A second change before that must supersede the first.
+func TestDiscoveryAddressChangeLeavesNoGap(t *testing.T) {
 	done := make(chan struct{})
 	defer close(done)
-	told, oldEnded := make(chan int64, 10), make(chan struct{})
+	revs, oldEnded := make(chan int64, 10), make(chan struct{})
 	var failures atomic.Int32
 	next := make(chan int64)
-	d := &discovery{policy: unhurried(long), rev: 1, onList: func(l List) { told <- l.Rev }, onFailed: func() { failures.Add(1) }}
+	d := &discovery{policy: unhurried(long), rev: 1, onList: func(l List) { revs <- l.Rev }, onFailed: func() { failures.Add(1) }}
 	old := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		go func() {
@@ -672,48 +676,48 @@
 	}).Addr().String()
 	silent := listen(t).Addr().String() // accepts and never answers
 	d.addr = old
-	hears := func(rev int64) {
+	expectRev := func(rev int64) {
 		t.Helper()
-		if got := <-told; got != rev {
-			t.Fatalf("version %d, want %d", got, rev)
+		if got := <-revs; got != rev {
+			t.Fatalf("received version %d, want %d", got, rev)
 		}
 	}
 	go d.poll(t.Context())
 	next <- 2
-	hears(2)
+	expectRev(2)
 	if d.move(old) || !d.move(silent) {
-		t.Error("only another address is a move")
+		t.Error("move must report a change for another address only")
 	}
 	go d.poll(t.Context())
-	for begun := 0; begun < 2; { // so that the watches begin in the order of the moves
+	for started := 0; started < 2; { // so that the watches start in the order of the changes
 		d.mu.Lock()
-		begun = d.lastCall.number
+		started = d.lastCall.number
 		d.mu.Unlock()
 	}
 	next <- 3
-	hears(3)
-	d.move(discover(t, func(since string, tell func(List), beat func()) {
+	expectRev(3)
+	d.move(discover(t, func(since string, send func(List), keepAlive func()) {
 		if since != "3" {
-			t.Errorf("a watch since %s, want 3", since)
+			t.Errorf("the watch starts at version %s, want 3", since)
 		}
-		tell(List{Rev: 4})
+		send(List{Rev: 4})
 		<-done
 	}))
 	go d.poll(t.Context())
-	hears(4)
+	expectRev(4)
 	<-oldEnded
 	close(next)
 	if failures.Load() > 0 {
-		t.Error("a failure was reported")
+		t.Error("the end of the old watch was reported as a failure")
 	}
 }
 
-// Where the list is asked for, the module decides when to ask again, so it must hear of each failure.
+// Where the list is polled, the module decides when to call again. Each failed call must therefore be reported to it.
 func TestFailedCallIsReported(t *testing.T) {
 	failed := make(chan struct{}, 1)
-	d := &discovery{policy: unhurried(long), onList: func(List) { t.Error("a list came") }, onFailed: func() { failed <- struct{}{} }}
+	d := &discovery{policy: unhurried(long), onList: func(List) { t.Error("a list was received") }, onFailed: func() { failed <- struct{}{} }}
 	for name, text := range map[string]string{
-		"turned away": "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
+		"rejected":    "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"reset":       "",
 		"no list":     "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nno!\n",
 		"bad state":   "HTTP/1.1 200 OK\r\n\r\n" + `{"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"Odd"}]}` + "\n",
@@ -724,12 +728,12 @@
 		select {
 		case <-failed:
 		default:
-			t.Errorf("%s: not reported", name)
+			t.Errorf("%s: the failure was not reported", name)
 		}
 	}
 }
 
-// Every sidecar must give a server the same id, in whatever order it hears of them: homes are dealt out by it.
+// Every sidecar must give a server the same ID, whatever the order of the list, as subset assignment uses it.
 func TestIDsDoNotDependOnOrder(t *testing.T) {
 	a, b := newDirectory(nil, nil), newDirectory(nil, nil)
 	for i := range 500 {
@@ -738,10 +742,10 @@
 	}
 	for uid, id := range a.ids {
 		if b.ids[uid] != id {
-			t.Errorf("%s is %d and %d", uid, id, b.ids[uid])
+			t.Errorf("server %s has the IDs %d and %d", uid, id, b.ids[uid])
 		}
 	}
 	if len(a.uids) != 500 {
-		t.Errorf("%d ids for 500 servers", len(a.uids))
+		t.Errorf("%d IDs for 500 servers", len(a.uids))
 	}
 }
