--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// serving is a sidecar before one endpoint that counts what reaches it.
+// serving starts a sidecar with one endpoint. It returns a channel with the IDs of the requests that reach the endpoint.
 func serving(t *testing.T, change func(*Sidecar)) (*Sidecar, chan string) {
 	t.Helper()
-	came := make(chan string, 1000)
+	received := make(chan string, 1000)
 	s, err := New(patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
-		came <- r.Header.Get("X-Request-Id")
+		received <- r.Header.Get("X-Request-Id")
 		return echo(n, c, r)
 	}).Addr().String()))
 	if err != nil {
@@ -27,55 +27,55 @@
 		change(s)
 	}
 	go s.Run(t.Context())
-	return s, came
+	return s, received
 }
 
-// ends waits for the sidecar to close a connection and returns all that it wrote.
+// ends waits until the sidecar closes the connection and returns everything that it wrote.
 func (c *client) ends(t *testing.T) string {
 	t.Helper()
 	c.SetReadDeadline(time.Now().Add(long))
 	text, err := io.ReadAll(c.reader)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
-		t.Fatalf("the connection stays open, after %q", text)
+		t.Fatalf("the connection is still open after %q", text)
 	}
 	return string(text)
 }
 
-// What can be read in two ways, or not at all, is answered and goes nowhere, and its connection ends: behind it, a
-// request may hide that no client sent.
-func TestWhatCannotBeReadEndsTheConnection(t *testing.T) {
-	s, came := serving(t, nil)
+// A request that is ambiguous or cannot be parsed must get an error and must not be forwarded, and its connection must be
+// closed: the bytes after it may contain a smuggled request.
+func TestUnparsableRequestEndsTheConnection(t *testing.T) {
+	s, received := serving(t, nil)
 	hidden := "GET /read/x HTTP/1.1\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: hidden\r\n\r\n"
 	pay := "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\n"
 	for name, c := range map[string]struct {
 		text string
 		want int
 	}{
-		"length and chunks":   {pay + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"chunks and length":   {pay + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"space before colon":  {pay + "Content-Length : 5\r\n\r\n" + hidden, 400},
-		"two codings":         {pay + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"huge length":         {pay + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
-		"long length":         {pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
-		"chunks that are not": {pay + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + hidden, 400},
-		"noise":               {"\x16\x03\x01\x00\xa5\r\n\r\n" + hidden, 400},
-		"head without end":    {pay + strings.Repeat("X-Pad: p\r\n", maxHeadBytes/10+1), 413},
-		"another protocol":    {"GET /read/x HTTP/2.0\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: 1\r\n\r\n" + hidden, 400},
-		"no class":            {"GET /nothing HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n" + hidden, 404},
+		"length and chunks":  {pay + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"chunks and length":  {pay + "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"space before colon": {pay + "Content-Length : 5\r\n\r\n" + hidden, 400},
+		"two codings":        {pay + "Transfer-Encoding: gzip, chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
+		"huge length":        {pay + "Content-Length: 99999999999999999999\r\n\r\n" + hidden, 400},
+		"long length":        {pay + "Content-Length: 60000000\r\n\r\n" + hidden, 413},
+		"invalid chunks":     {pay + "Transfer-Encoding: chunked\r\n\r\nzz\r\n" + hidden, 400},
+		"noise":              {"\x16\x03\x01\x00\xa5\r\n\r\n" + hidden, 400},
+		"head without end":   {pay + strings.Repeat("X-Pad: p\r\n", maxHeadBytes/10+1), 413},
+		"other protocol":     {"GET /read/x HTTP/2.0\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: 1\r\n\r\n" + hidden, 400},
+		"no class":           {"GET /nothing HTTP/1.1\r\nHost: b\r\nX-Request-Id: 1\r\n\r\n" + hidden, 404},
 	} {
-		k := dial(t, s)
-		io.WriteString(k, c.text)
-		if got := k.ends(t); !strings.HasPrefix(got, fmt.Sprint("HTTP/1.1 ", c.want)) || strings.Count(got, "HTTP/1.1") != 1 {
-			t.Errorf("%s: answer %q, want one of status %d", name, got, c.want)
+		conn := dial(t, s)
+		io.WriteString(conn, c.text)
+		if got := conn.ends(t); !strings.HasPrefix(got, fmt.Sprint("HTTP/1.1 ", c.want)) || strings.Count(got, "HTTP/1.1") != 1 {
+			t.Errorf("%s: response %q, want one with status %d", name, got, c.want)
 		}
 	}
-	if len(came) > 0 {
-		t.Errorf("request %q reached the endpoint", <-came)
+	if len(received) > 0 {
+		t.Errorf("request %q reached the endpoint", <-received)
 	}
 }
 
-// An error must reach a caller that goes on sending, and its sending must end.
-func TestErrorReachesASendingCaller(t *testing.T) {
+// An error response must reach a client that is still sending, and must stop it.
+func TestErrorReachesSendingClient(t *testing.T) {
 	s, _ := serving(t, nil)
 	c := dial(t, s)
 	go func() {
@@ -88,26 +88,26 @@
 	}()
 	c.SetReadDeadline(time.Now().Add(long))
 	if res, err := http.ReadResponse(c.reader, nil); err != nil || res.StatusCode != 413 {
-		t.Errorf("answer %v, error %v", res, err)
+		t.Errorf("response %v, error %v; want status 413", res, err)
 	}
 }
 
-// Callers that say nothing, send half a request, or keep a connection for good must not hold it.
-func TestQuietConnectionsEnd(t *testing.T) {
-	s, came := serving(t, func(s *Sidecar) { s.front.requestTimeout = 20 * time.Millisecond })
+// Connections of clients that send nothing, send only part of a request or stay idle must be closed.
+func TestIdleConnectionsAreClosed(t *testing.T) {
+	s, received := serving(t, func(s *Sidecar) { s.front.requestTimeout = 20 * time.Millisecond })
 	for name, text := range map[string]string{
-		"silent":    "",
-		"half head": "POST /pay/x HTTP/1.1\r\nHost:",
-		"half body": "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: 9\r\n\r\nhalf",
+		"silent":       "",
+		"partial head": "POST /pay/x HTTP/1.1\r\nHost:",
+		"partial body": "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: 9\r\n\r\nhalf",
 	} {
 		c := dial(t, s)
 		io.WriteString(c, text)
 		if got := c.ends(t); got != "" {
-			t.Errorf("%s: answer %q", name, got)
+			t.Errorf("%s: response %q, want none", name, got)
 		}
 	}
-	if len(came) > 0 {
-		t.Error("half a request went on")
+	if len(received) > 0 {
+		t.Error("a partial request was forwarded")
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
@@ -118,58 +118,59 @@
 	s.front.downstream.mu.Lock()
 	defer s.front.downstream.mu.Unlock()
 	if n := s.front.downstream.idle.Len(); n > s.front.downstream.openConns {
-		t.Errorf("%d connections are held quiet of %d open", n, s.front.downstream.openConns)
+		t.Errorf("%d connections are in the idle list, but only %d are open", n, s.front.downstream.openConns)
 	}
 }
 
-// An id tells a request from all others: a second one that takes it while it is open must not get in its way.
-func TestIDOfAnOpenRequest(t *testing.T) {
-	release, came := make(chan struct{}), make(chan struct{}, 10)
+// While a request is open, a second request with the same ID must be rejected and must not affect the first.
+func TestDuplicateIDOfOpenRequest(t *testing.T) {
+	release, received := make(chan struct{}), make(chan struct{}, 10)
 	s := start(t, config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
-		came <- struct{}{}
+		received <- struct{}{}
 		<-release
 		return echo(n, c, r)
 	}).Addr().String()))
 	first, second := dial(t, s), dial(t, s)
 	first.send("GET", "read", "")
-	<-came
+	<-received
 	second.send("GET", "read", "")
 	if res, _ := second.answer(t); res.StatusCode != http.StatusConflict || !res.Close {
-		t.Errorf("status %d, close %v", res.StatusCode, res.Close)
+		t.Errorf("status %d, close %v; want 409 and a closed connection", res.StatusCode, res.Close)
 	}
 	close(release)
 	if res, _ := first.answer(t); res.StatusCode != 200 {
-		t.Errorf("status %d for the first", res.StatusCode)
+		t.Errorf("status %d of the first request, want 200", res.StatusCode)
 	}
-	first.send("GET", "read", "") // and the id is free again
+	first.send("GET", "read", "") // the ID can be used again
 	if res, _ := first.answer(t); res.StatusCode != 200 {
-		t.Errorf("status %d after it", res.StatusCode)
+		t.Errorf("status %d of a later request with the same ID, want 200", res.StatusCode)
 	}
 }
 
-// A request that an endpoint cannot use is at fault itself: tried elsewhere, it costs every endpoint work and makes
-// each look broken.
-func TestUnusableRequestIsTriedOnce(t *testing.T) {
-	came := make(chan struct{}, 10)
-	unusable := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		came <- struct{}{}
+// A 4xx response means that the request itself is at fault. Retries would cost every endpoint work and make each appear to
+// fail.
+func TestRequestWithClientErrorIsTriedOnce(t *testing.T) {
+	received := make(chan struct{}, 10)
+	rejecting := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+		received <- struct{}{}
 		io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	s := start(t, config(t, unusable.Addr().String()))
+	s := start(t, config(t, rejecting.Addr().String()))
 	for range 5 {
 		c := dial(t, s)
 		c.send("GET", "read", "")
 		if res, _ := c.answer(t); res.StatusCode != 400 || !res.Close {
-			t.Errorf("status %d, close %v", res.StatusCode, res.Close)
+			t.Errorf("status %d, close %v; want 400 and a closed connection", res.StatusCode, res.Close)
 		}
 	}
-	if len(came) != 5 {
-		t.Errorf("%d attempts for 5 requests", len(came))
+	if len(received) != 5 {
+		t.Errorf("%d attempts for 5 requests", len(received))
 	}
 }
 
-// What has ended is not kept until its time would have been up: a long day would hold every body for seconds.
+// A call that has ended must be forgotten at once, not at its deadline. Otherwise every request body would stay in memory
+// for seconds.
 func TestEndedCallsAreForgotten(t *testing.T) {
 	s, _ := serving(t, nil)
 	c := dial(t, s)
@@ -180,29 +181,29 @@
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
-	for left, end := 1, time.Now().Add(long); left > 0; {
+	for remaining, end := 1, time.Now().Add(long); remaining > 0; {
 		s.loop.postAndWait(func() {
-			left = len(s.loop.calls) + len(s.loop.callsByID)
-			for _, d := range s.loop.timerQueue {
-				if d.call != nil {
-					left++
+			remaining = len(s.loop.calls) + len(s.loop.callsByID)
+			for _, entry := range s.loop.timerQueue {
+				if entry.call != nil {
+					remaining++
 				}
 			}
 		})
 		if time.Now().After(end) {
-			t.Fatalf("%d things kept", left)
+			t.Fatalf("%d entries of ended calls remain", remaining)
 		}
 	}
 }
 
-// A caller that waits for leave to send its body gets it.
+// A client that sends Expect: 100-continue must get the interim response before it sends the body.
 func TestExpectContinue(t *testing.T) {
 	s, _ := serving(t, nil)
 	c := dial(t, s)
 	fmt.Fprint(c, "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
 	c.SetReadDeadline(time.Now().Add(long))
 	if line, _ := c.reader.ReadString('\n'); !strings.HasPrefix(line, "HTTP/1.1 100") {
-		t.Fatalf("%q", line)
+		t.Fatalf("status line %q, want status 100", line)
 	}
 	c.reader.ReadString('\n')
 	io.WriteString(c, "hi")
@@ -211,7 +212,7 @@
 	}
 }
 
-// Whatever a head holds that we take, net/http reads in the same way: nothing hides in it.
+// Any message that is accepted must be parsed in the same way by net/http, so that no request can be smuggled.
 func FuzzReadMessage(f *testing.F) {
 	for _, text := range []string{
 		"GET /a HTTP/1.1\r\nHost: b\r\n\r\n", "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc",
@@ -232,14 +233,14 @@
 		}
 		body, err := readBody(r, m.length)
 		if len(body) > maxBodyBytes+1 {
-			t.Errorf("body of %d bytes", len(body))
+			t.Errorf("body has %d bytes, over the limit", len(body))
 		}
 		if err != nil {
 			return
 		}
 		req, err := http.ReadRequest(bufio.NewReader(strings.NewReader(string(text))))
 		if err != nil {
-			return // stricter still
+			return // net/http is stricter
 		}
 		want, err := io.ReadAll(req.Body)
 		if err != nil || string(want) != string(body) {
@@ -248,8 +249,8 @@
 	})
 }
 
-// Nothing that an endpoint can write may make its answer larger than it may be, or be taken for one that tells no end.
-func FuzzReadAnswer(f *testing.F) {
+// Whatever an endpoint sends, an accepted response must be within the size limit and must have a known length.
+func FuzzReadFinalResponse(f *testing.F) {
 	for _, text := range []string{
 		"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "HTTP/1.1 103 E\r\n\r\nHTTP/1.1 204 N\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "HTTP/1.1 2x0\r\n\r\n", "ICY 200 OK\r\n\r\n",
@@ -262,7 +263,7 @@
 			return
 		}
 		if len(body) > maxBodyBytes || status < 200 || status > 999 || m.length == lengthUnspecified && len(body) > 0 {
-			t.Errorf("status %d, %d bytes, head %v", status, len(body), m)
+			t.Errorf("accepted a response with status %d, %d bytes and head %v", status, len(body), m)
 		}
 	})
 }
