--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -15,9 +15,9 @@
 	"forkline"
 )
 
-const long = 10 * time.Second // no test that passes waits for so long
+const long = 10 * time.Second // longer than any wait of a test that passes
 
-// listen opens a loopback listener that ends with the test.
+// listen opens a loopback listener that is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,8 @@
 	return ln
 }
 
-// script serves every connection with f, which gets the requests one by one; it is closed when f says so.
+// script starts a server that passes each request to f, with the number of its connection. It closes the connection when f
+// returns false.
 func script(t *testing.T, f func(n int, c net.Conn, req *http.Request) (more bool)) net.Listener {
 	t.Helper()
 	ln := listen(t)
@@ -57,6 +58,7 @@
 	return ln
 }
 
+// get returns a GET request.
 func get() *upstreamRequest {
 	return &upstreamRequest{
 		preamble: "GET /browse/x?q=%20 HTTP/1.1\r\nHost: backend.local\r\n",
@@ -64,67 +66,68 @@
 	}
 }
 
-// attemptOn carries out one attempt on the server 1 of u.
+// attemptOn makes one attempt at server 1 of u, with the given time until the deadline.
 func attemptOn(u *upstream, wait time.Duration) (forkline.Outcome, *response) {
 	return u.do(newAttempt(time.Time{}), u.find(1), get(), time.Now().Add(wait))
 }
 
-func pool(addr string, most int) *upstream {
-	u := newUpstream(forkline.Limits{}, 0, most)
+// pool returns a connection pool with one server, which has ID 1.
+func pool(addr string, maxConns int) *upstream {
+	u := newUpstream(forkline.Limits{}, 0, maxConns)
 	u.updateServer(1, addr, 0, forkline.Ready)
-	u.reuseDelay = 0 // tests use connections again at once
+	u.reuseDelay = 0 // connections are reused at once
 	return u
 }
 
-// What an endpoint does must reach the module as the outcome that says truly whether the request can have run:
-// the module sends again and refuses by it.
+// The behavior of an endpoint must be reported to the module as an outcome that states correctly whether the request may
+// have run, because the module decides on retries and refusals by it.
 func TestOutcomes(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		does string // what is written before the connection ends
+		sent string // what the endpoint writes before it closes the connection
 		want forkline.Outcome
 	}{
 		{"served", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", forkline.OK},
 		{"error", "HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", forkline.Error},
-		{"turned away", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Rejected},
-		{"over already", "HTTP/1.1 504 G\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Rejected},
-		{"503 that does not say so", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", forkline.Error},
-		{"500 is no turning away", "HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Error},
-		{"the request's own fault", "HTTP/1.1 400 B\r\nContent-Length: 0\r\n\r\n", forkline.Cancelled},
-		{"closed unanswered", "", forkline.Reset},
-		{"cut in the header", "HTTP/1.1 200 OK\r\nContent-", forkline.Reset},
-		{"cut in the body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", forkline.Reset},
-		{"cut in a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", forkline.Reset},
+		{"rejected", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Rejected},
+		{"deadline passed", "HTTP/1.1 504 G\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Rejected},
+		{"503 without X-Not-Run", "HTTP/1.1 503 U\r\nContent-Length: 0\r\n\r\n", forkline.Error},
+		{"500 with X-Not-Run", "HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", forkline.Error},
+		{"client error", "HTTP/1.1 400 B\r\nContent-Length: 0\r\n\r\n", forkline.Cancelled},
+		{"closed without a response", "", forkline.Reset},
+		{"truncated header", "HTTP/1.1 200 OK\r\nContent-", forkline.Reset},
+		{"truncated body", "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi", forkline.Reset},
+		{"truncated chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n", forkline.Reset},
 		{"body over the limit", "HTTP/1.1 200 OK\r\nContent-Length: 65537\r\n\r\n" + strings.Repeat("x", maxBodyBytes+1), forkline.Reset},
-		{"body without end", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxyz", forkline.Reset},
+		{"incomplete huge body", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxyz", forkline.Reset},
 		{"chunks over the limit", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n10001\r\n" + strings.Repeat("x", maxBodyBytes+1), forkline.Reset},
 		{"chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\nX-T: 1\r\n\r\n", forkline.OK},
-		{"no length", "HTTP/1.1 200 OK\r\n\r\nhi", forkline.Reset}, // it may have been cut off
+		{"no length", "HTTP/1.1 200 OK\r\n\r\nhi", forkline.Reset}, // the body may be truncated
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
 		{"length and chunks", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", forkline.Reset},
 		{"negative length", "HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\nhi", forkline.Reset},
 		{"noise", "\x16\x03\x01\x00\n\n\n\n", forkline.Reset},
 		{"no status", "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
-		{"another protocol", "ICY 200 OK\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
-		{"a header that is none", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
+		{"other protocol", "ICY 200 OK\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
+		{"invalid header line", "HTTP/1.1 200 OK\r\nno colon\r\nContent-Length: 2\r\n\r\nhi", forkline.Reset},
 		{"head without end", "HTTP/1.1 200 OK\r\n" + strings.Repeat("X-Pad: p\r\n", maxHeadBytes), forkline.Reset},
-		{"spoilt, yet said not to have run", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhi", forkline.Reset},
-		{"interim answers ahead", "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", forkline.OK},
-		{"interim answers without end", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxInterimResponses+1), forkline.Reset},
-		{"another copy behind", strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 2), forkline.OK},
+		{"truncated body with X-Not-Run", "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 9\r\n\r\nhi", forkline.Reset},
+		{"interim responses", "HTTP/1.1 100 C\r\n\r\nHTTP/1.1 103 E\r\nLink: </a>\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", forkline.OK},
+		{"too many interim responses", strings.Repeat("HTTP/1.1 103 E\r\n\r\n", maxInterimResponses+1), forkline.Reset},
+		{"duplicate response", strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 2), forkline.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			ln := script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
-				io.WriteString(conn, c.does)
+				io.WriteString(conn, c.sent)
 				return false
 			})
 			got, a := attemptOn(pool(ln.Addr().String(), 4), long)
 			final := c.want == forkline.OK || c.want == forkline.Cancelled
 			if got != c.want || (a != nil) != final {
-				t.Fatalf("outcome %v with answer %v, want %v", got, a, c.want)
+				t.Fatalf("outcome %v with response %v, want %v", got, a, c.want)
 			}
 			if got == forkline.OK && string(a.body) != "hi" {
-				t.Errorf("body %q", a.body)
+				t.Errorf("body %q, want \"hi\"", a.body)
 			}
 		})
 	}
@@ -145,36 +148,38 @@
 	})
 }
 
-// http.Transport would send this request again by itself: a second attempt that nobody decided on.
-func TestBrokenConnectionIsNotSentAgain(t *testing.T) {
+// A request whose connection breaks must not be sent again without a decision of the module. http.Transport would retry it
+// by itself.
+func TestNoRetryOnBrokenConnection(t *testing.T) {
 	requests := make(chan int, 10)
 	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
 		requests <- n
 		if len(requests) == 2 {
-			return false // the connection that served the first one breaks under the second
+			return false // the connection that served the first request breaks during the second
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
 	u := pool(ln.Addr().String(), 4)
 	if got, _ := attemptOn(u, long); got != forkline.OK {
-		t.Fatalf("first outcome %v", got)
+		t.Fatalf("outcome %v of the first request, want OK", got)
 	}
 	if got, _ := attemptOn(u, long); got != forkline.Reset {
-		t.Errorf("second outcome %v, want a reset", got)
+		t.Errorf("outcome %v of the second request, want a reset", got)
 	}
 	if a, b := <-requests, <-requests; a != 0 || b != 0 || len(requests) != 0 {
 		t.Errorf("requests on connections %d and %d and %d more, want both on the first", a, b, len(requests))
 	}
 }
 
-// An endpoint may close an idle connection at any time; a request written to it would count as a reset.
+// An endpoint may close an idle connection at any time. A request must not be written to a closed connection, as that would
+// count as a reset.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
-	kept, closed := make(chan struct{}), make(chan struct{})
+	closeNow, closed := make(chan struct{}), make(chan struct{})
 	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		if n == 0 {
-			<-kept
+			<-closeNow
 			c.Close()
 			close(closed)
 		}
@@ -182,13 +187,13 @@
 	})
 	u := pool(ln.Addr().String(), 4)
 	attemptOn(u, long)
-	close(kept)
+	close(closeNow)
 	<-closed
 	idle := u.find(1).idle
 	if len(idle) != 1 {
 		t.Fatalf("%d idle connections, want 1", len(idle))
 	}
-	for stillOpen(idle[0].Conn) { // until the end of the stream has come over the loopback
+	for stillOpen(idle[0].Conn) { // until the close has arrived over the loopback
 		time.Sleep(time.Millisecond)
 	}
 	if got, _ := attemptOn(u, long); got != forkline.OK {
@@ -199,9 +204,9 @@
 	}
 }
 
-// An endpoint may drop connections that were idle for a while without a sign. A request that must never run twice is
-// lost with one, so it must go on a new connection once that has been seen, while others may try the old ones.
-func TestDroppedConnectionsAreNotTrusted(t *testing.T) {
+// An endpoint may silently drop connections that were idle for a while, and an at-most-once request sent on one is lost. Once
+// such a drop has been observed, these requests must use new connections, while others may try the idle ones.
+func TestAtMostOnceRequestsAvoidIdleConnections(t *testing.T) {
 	requests := make(chan int, 10)
 	ln := script(t, func(n int, c net.Conn, req *http.Request) bool {
 		if requests <- n; req.Header.Get("X-Request-Id") == "drop" {
@@ -211,39 +216,40 @@
 		return true
 	})
 	u := pool(ln.Addr().String(), 4)
-	on := func(id string, once bool, idle time.Duration) int {
+	sentOn := func(id string, atMostOnce bool, idleFor time.Duration) int {
 		t.Helper()
 		if e := u.find(1); len(e.idle) > 0 {
-			e.idle[len(e.idle)-1].idleSince = time.Now().Add(-idle)
+			e.idle[len(e.idle)-1].idleSince = time.Now().Add(-idleFor)
 		}
-		out := get()
-		out.header.Set("X-Request-Id", id)
-		out.atMostOnce = once
-		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), out, time.Now().Add(long)); (got == forkline.OK) == (id == "drop") {
+		outgoing := get()
+		outgoing.header.Set("X-Request-Id", id)
+		outgoing.atMostOnce = atMostOnce
+		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(long)); (got == forkline.OK) == (id == "drop") {
 			t.Fatalf("outcome %v", got)
 		}
 		return <-requests
 	}
-	on("1", true, 0)
-	if n := on("2", true, time.Second); n != 0 {
-		t.Errorf("on connection %d, want the idle one: none was dropped yet", n)
+	sentOn("1", true, 0)
+	if n := sentOn("2", true, time.Second); n != 0 {
+		t.Errorf("sent on connection %d, want the idle one, as none was dropped yet", n)
 	}
-	on("drop", false, time.Second) // on 0
-	on("3", false, 0)              // on 1
-	if n := on("4", true, time.Second); n != 2 {
-		t.Errorf("on connection %d, want a new one", n)
+	sentOn("drop", false, time.Second) // on connection 0
+	sentOn("3", false, 0)              // on connection 1
+	if n := sentOn("4", true, time.Second); n != 2 {
+		t.Errorf("sent on connection %d, want a new one", n)
 	}
-	if n := on("5", true, 0); n != 2 {
-		t.Errorf("on connection %d, want the one that was just used", n)
+	if n := sentOn("5", true, 0); n != 2 {
+		t.Errorf("sent on connection %d, want the one that was just used", n)
 	}
-	if n := on("6", false, time.Second); n != 2 {
-		t.Errorf("on connection %d, want the idle one: this one may be sent again", n)
+	if n := sentOn("6", false, time.Second); n != 2 {
+		t.Errorf("sent on connection %d, want the idle one, as this request may be retried", n)
 	}
 }
 
-// A connection that breaks before the last byte of a request has carried none: one that must never run twice is not
-// lost with it. An idle connection gives way to the next, and a new one proves that nothing ran.
-func TestBreakBeforeTheLastByteLosesNothing(t *testing.T) {
+// If a connection breaks before the last byte of a request is written, the request cannot have run, and an at-most-once
+// request is not lost. On an idle connection it must be sent on the next one. On a new connection the outcome must state
+// that nothing ran.
+func TestBreakBeforeTheLastByte(t *testing.T) {
 	served := make(chan string, 10)
 	ln := listen(t)
 	go func() {
@@ -252,13 +258,13 @@
 			if err != nil {
 				return
 			}
-			if n == 2 { // breaks under its first bytes
+			if n == 2 { // breaks during the first bytes
 				c.Read(make([]byte, 1))
 				c.(*net.TCPConn).SetLinger(0)
 				c.Close()
 				continue
 			}
-			io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // ends the look for a break
+			io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // ends the wait for a break
 			req, err := http.ReadRequest(bufio.NewReader(c))
 			if err != nil {
 				t.Error(err)
@@ -276,51 +282,51 @@
 	u := pool(ln.Addr().String(), 4)
 	u.breakCheckTime = long
 	for i, want := range []forkline.Outcome{forkline.OK, forkline.OK, forkline.ConnectFailed} {
-		out := get()
-		out.header.Set("X-Request-Id", fmt.Sprint("-", i))
-		out.atMostOnce = true
+		outgoing := get()
+		outgoing.header.Set("X-Request-Id", fmt.Sprint("-", i))
+		outgoing.atMostOnce = true
 		if i == 2 {
 			u.closeServerIdle(1)
 		}
-		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), out, time.Now().Add(2*long)); got != want {
+		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(2*long)); got != want {
 			t.Errorf("request %d: outcome %v, want %v", i, got, want)
 		}
 	}
 	if a, b := <-served, <-served; a != "0-0" || b != "1-1" || len(served) != 0 {
-		t.Errorf("%q, %q and %d more were served", a, b, len(served))
+		t.Errorf("served %q, %q and %d more, want 0-0 and 1-1 only", a, b, len(served))
 	}
 }
 
-// What is trusted follows what is seen, and no break that idleness cannot have caused.
-func TestTrustInIdleConnections(t *testing.T) {
+// trustedIdle must follow the observed breaks, except for those that idle time cannot have caused.
+func TestTrustedIdleTime(t *testing.T) {
 	u := pool("127.0.0.1:1", 4)
 	u.recordReuse(0, true)
 	u.recordReuse(minTrustedIdle, true)
 	if u.trustedIdle != u.idleTimeout {
-		t.Errorf("trust %v after new and busy connections broke", u.trustedIdle)
+		t.Errorf("trusted idle time %v after breaks of new and busy connections, want the idle timeout", u.trustedIdle)
 	}
 	u.recordReuse(800*time.Millisecond, true)
 	u.recordReuse(time.Second, true)
 	if u.trustedIdle != 400*time.Millisecond {
-		t.Errorf("trust %v, want half the shortest time", u.trustedIdle)
+		t.Errorf("trusted idle time %v, want half of the shortest that broke", u.trustedIdle)
 	}
 	for range reusesToDoubleTrust - 1 {
 		u.recordReuse(time.Second, false)
-		u.recordReuse(100*time.Millisecond, false) // tells nothing of longer times
+		u.recordReuse(100*time.Millisecond, false) // proves nothing about longer idle times
 	}
 	if u.trustedIdle != 400*time.Millisecond {
-		t.Errorf("trust %v, too soon", u.trustedIdle)
+		t.Errorf("trusted idle time %v, raised too early", u.trustedIdle)
 	}
 	if u.recordReuse(time.Second, false); u.trustedIdle != 800*time.Millisecond {
-		t.Errorf("trust %v after a run of sound connections", u.trustedIdle)
+		t.Errorf("trusted idle time %v after enough successful reuses, want 800ms", u.trustedIdle)
 	}
 	if u.recordReuse(minTrustedIdle+1, true); u.trustedIdle != minTrustedIdle {
-		t.Errorf("trust %v, want the least", u.trustedIdle)
+		t.Errorf("trusted idle time %v, want the minimum", u.trustedIdle)
 	}
 }
 
-// Once an attempt is called off its request has a final answer, and nothing may go out for it.
-func TestCalledOffBeforeWriting(t *testing.T) {
+// An aborted attempt must not write anything, because its request already has a final response.
+func TestAbortBeforeWriting(t *testing.T) {
 	requests := make(chan struct{}, 1)
 	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
 	u := pool(ln.Addr().String(), 4)
@@ -335,35 +341,35 @@
 	}
 	c.Close()
 	if len(requests) != 0 {
-		t.Error("the request went out")
+		t.Error("the request was sent")
 	}
 }
 
-// Calling an attempt off closes its connection, which is how an endpoint learns of it.
-func TestCalledOffWhileWaiting(t *testing.T) {
-	came, left := make(chan struct{}), make(chan error, 1)
+// Aborting an attempt must close its connection, as this notifies the endpoint.
+func TestAbortWhileWaiting(t *testing.T) {
+	received, closed := make(chan struct{}), make(chan error, 1)
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
-		close(came)
+		close(received)
 		_, err := c.Read(make([]byte, 1))
-		left <- err
+		closed <- err
 		return false
 	})
 	u := pool(ln.Addr().String(), 4)
 	a := newAttempt(time.Time{})
-	go func() { <-came; a.abort() }()
+	go func() { <-received; a.abort() }()
 	if got, _ := u.do(a, u.find(1), get(), time.Now().Add(long)); got != forkline.Cancelled {
 		t.Errorf("outcome %v", got)
 	}
 	select {
-	case <-left:
+	case <-closed:
 	case <-time.After(long):
-		t.Error("the connection stayed open")
+		t.Error("the connection was not closed")
 	}
 }
 
-// Between the decision and the first byte the sidecar may be told that the endpoint drains, and a dial or a stall
-// may outlast the grace: an attempt that is late stays in, and never ran.
-func TestLateAttemptStaysIn(t *testing.T) {
+// Between the decision and the first byte, the sidecar may be notified that the endpoint drains, and a dial or a stall may
+// last longer than the drain grace. A late attempt must not be written, and counts as not run.
+func TestLateAttemptIsNotWritten(t *testing.T) {
 	requests := make(chan struct{}, 1)
 	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
 	u := pool(ln.Addr().String(), 4)
@@ -372,16 +378,16 @@
 		t.Errorf("outcome %v", got)
 	}
 	if len(u.find(1).idle) != 1 {
-		t.Error("the connection, unused, was not kept")
+		t.Error("the unused connection was not returned to the pool")
 	}
 	if len(requests) != 0 {
-		t.Error("the request went out")
+		t.Error("the request was sent")
 	}
 }
 
-// The module says how late a repeat may be whole; the sidecar keeps to it, also where a drain leaves more time or none is
-// told. A late repeat has not run: its call is over or goes elsewhere.
-func TestALateRepeatStaysIn(t *testing.T) {
+// The module states by when the last byte of a retry must be written. The sidecar must observe this limit, even if the drain
+// grace is longer or not stated. A late retry counts as not run.
+func TestLateRetryIsNotWritten(t *testing.T) {
 	for _, grace := range []float64{0, 1e6} {
 		requests := make(chan struct{}, 1)
 		ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
@@ -395,23 +401,23 @@
 		now := l.now()
 		c := &call{outgoing: *get()}
 		l.send(c, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: now + 1e6, LastByteBy: now - 1})
-		for c.openAttempts > 0 { // ahead of the outcome comes news of the connection
+		for c.openAttempts > 0 { // reports on the connection come before the outcome
 			(<-l.queue)()
 		}
 		if len(requests) != 0 || len(u.find(1).idle) != 1 {
-			t.Errorf("grace %v: the request went out, or its connection was not kept", grace)
+			t.Errorf("drain grace %v: the request was sent, or its connection was not returned to the pool", grace)
 		}
 	}
 }
 
-// At the descriptor limit idle connections give way, and only with none left does an attempt fail,
-// as one that never ran.
+// At the connection limit an idle connection must be closed in favor of a new one. Only if none is idle must an attempt
+// fail, as one that did not run.
 func TestConnectionLimit(t *testing.T) {
-	hold, held := make(chan struct{}), make(chan struct{}, 1)
+	release, received := make(chan struct{}), make(chan struct{}, 1)
 	serve := func(n int, c net.Conn, req *http.Request) bool {
 		if req.Header.Get("X-Request-Id") == "hold" {
-			held <- struct{}{}
-			<-hold
+			received <- struct{}{}
+			<-release
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -421,116 +427,118 @@
 	u.updateServer(2, second.Addr().String(), 0, forkline.Ready)
 	attemptOn(u, long)
 	if len(u.find(1).idle) != 1 {
-		t.Fatal("no idle connection to begin with")
+		t.Fatal("the first attempt left no idle connection")
 	}
 	done := make(chan forkline.Outcome)
 	go func() {
-		out := get()
-		out.header.Set("X-Request-Id", "hold")
-		got, _ := u.do(newAttempt(time.Time{}), u.find(2), out, time.Now().Add(long))
+		outgoing := get()
+		outgoing.header.Set("X-Request-Id", "hold")
+		got, _ := u.do(newAttempt(time.Time{}), u.find(2), outgoing, time.Now().Add(long))
 		done <- got
 	}()
-	<-held
+	<-received
 	if got, _ := attemptOn(u, long); got != forkline.ConnectFailed {
-		t.Errorf("outcome %v with no descriptor left", got)
+		t.Errorf("outcome %v at the connection limit, want a failed connect", got)
 	}
-	close(hold)
+	close(release)
 	if got := <-done; got != forkline.OK || u.openConns != 1 {
-		t.Errorf("outcome %v with %d connections, want it served in place of the idle one", got, u.openConns)
+		t.Errorf("outcome %v with %d connections, want OK on a connection that replaced the idle one", got, u.openConns)
 	}
 }
 
-// idleConn opens a connection to ln and puts it into u's pool, as one that a request has just been on for so long; it
-// returns the far end too.
-func idleConn(t *testing.T, u *upstream, ln net.Listener, took time.Duration) (c *conn, far net.Conn) {
+// idleConn opens a connection to ln and adds it to the pool, as if a request with the given duration had just ended on it.
+// It also returns the remote end.
+func idleConn(t *testing.T, u *upstream, ln net.Listener, lastDuration time.Duration) (c *conn, remote net.Conn) {
 	t.Helper()
 	raw, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
-	if far, err = ln.Accept(); err != nil {
+	if remote, err = ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { raw.Close(); far.Close() })
-	c = &conn{Conn: raw, reader: bufio.NewReader(raw), server: u.find(1), takenAt: time.Now().Add(-took)}
+	t.Cleanup(func() { raw.Close(); remote.Close() })
+	c = &conn{Conn: raw, reader: bufio.NewReader(raw), server: u.find(1), takenAt: time.Now().Add(-lastDuration)}
 	u.openConns++
 	u.putIdle(c)
-	return c, far
+	return c, remote
 }
 
-// A connection that was used just now is waited for: a new one costs its endpoint work and stays open. With calls one
-// after another there would be two where one does. But where answers come at once the wait would seem a silence, for
-// which the module calls an attempt off. All on virtual time.
-func TestAConnectionsRestIsWaitedFor(t *testing.T) {
-	const rest = 10 * time.Millisecond
+// An attempt must wait for the reuse delay of a connection that was just used instead of dialing a new one. A new connection
+// costs its endpoint work and stays open, so sequential calls would use two connections where one suffices. But an attempt
+// must not wait longer than requests take, because the module would take the wait for a silent endpoint and cancel the
+// attempt. The test runs in virtual time.
+func TestReuseDelayIsAwaited(t *testing.T) {
+	const reuseDelay = 10 * time.Millisecond
 	for name, c := range map[string]struct {
-		before func(u *upstream, first, second *conn, far net.Conn, cancel func())
-		took   time.Duration // the last request on each
-		until  time.Duration
-		once   bool
-		want   int           // the connection that is taken, of two put away 1 ms apart; 0 is none: it dials
-		after  time.Duration // from the later one's last use
-		open   int
+		// setup runs before the attempt; may be nil.
+		setup        func(u *upstream, first, second *conn, remote net.Conn, cancel func())
+		lastDuration time.Duration // duration of the last request on each connection
+		timeLeft     time.Duration // time until the deadline
+		atMostOnce   bool
+		want         int           // connection that is used, of two added to the pool 1 ms apart; 0 = a new one is dialed
+		waited       time.Duration // time until then, from the last use of the second
+		open         int           // connections open at the end
 	}{
-		"the one first put away":   {nil, rest, long, false, 1, rest - time.Millisecond, 2},
-		"also by the unsafe":       {nil, rest, long, true, 1, rest - time.Millisecond, 2},
-		"not beyond the time left": {nil, rest, rest - 2*time.Millisecond, false, 0, 0, 2},
-		"one that has rested goes ahead": {func(*upstream, *conn, *conn, net.Conn, func()) {
-			time.Sleep(rest - time.Millisecond)
-		}, rest, long, false, 1, rest - time.Millisecond, 2},
-		"the later one, once both have": {func(*upstream, *conn, *conn, net.Conn, func()) {
-			time.Sleep(rest)
-		}, rest, long, false, 2, rest, 2},
-		"in place of one that is not trusted": {func(u *upstream, first, _ *conn, _ net.Conn, _ func()) {
+		"the one idle longer":     {nil, reuseDelay, long, false, 1, reuseDelay - time.Millisecond, 2},
+		"at most once":            {nil, reuseDelay, long, true, 1, reuseDelay - time.Millisecond, 2},
+		"not beyond the deadline": {nil, reuseDelay, reuseDelay - 2*time.Millisecond, false, 0, 0, 2},
+		"one delay has passed": {func(*upstream, *conn, *conn, net.Conn, func()) {
+			time.Sleep(reuseDelay - time.Millisecond)
+		}, reuseDelay, long, false, 1, reuseDelay - time.Millisecond, 2},
+		"both delays have passed": {func(*upstream, *conn, *conn, net.Conn, func()) {
+			time.Sleep(reuseDelay)
+		}, reuseDelay, long, false, 2, reuseDelay, 2},
+		"the other is not trusted": {func(u *upstream, first, _ *conn, _ net.Conn, _ func()) {
 			u.trustedIdle, first.idleSince = minTrustedIdle, first.idleSince.Add(-time.Second)
-		}, rest, long, true, 2, rest, 2},
-		"in place of one that is too old": {func(u *upstream, first, _ *conn, _ net.Conn, _ func()) {
+		}, reuseDelay, long, true, 2, reuseDelay, 2},
+		"the other is too old": {func(u *upstream, first, _ *conn, _ net.Conn, _ func()) {
 			first.idleSince = first.idleSince.Add(-time.Hour)
-		}, rest, long, false, 2, rest, 1},
-		"not for longer than a request takes": {nil, rest - 2*time.Millisecond, long, false, 0, 0, 2},
+		}, reuseDelay, long, false, 2, reuseDelay, 1},
+		"not for longer than a request takes": {nil, reuseDelay - 2*time.Millisecond, long, false, 0, 0, 2},
 		"not for longer than is trusted": {func(u *upstream, _, _ *conn, _ net.Conn, _ func()) {
-			u.trustedIdle = rest - 1
-		}, rest, long, true, 0, 0, 2},
-		"a second answer meanwhile": {func(_ *upstream, first, _ *conn, far net.Conn, _ func()) {
-			time.AfterFunc(rest/2, func() {
-				io.WriteString(far, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-				for stillOpen(first.Conn) { // until it has come over the loopback
+			u.trustedIdle = reuseDelay - 1
+		}, reuseDelay, long, true, 0, 0, 2},
+		"a duplicate response meanwhile": {func(_ *upstream, first, _ *conn, remote net.Conn, _ func()) {
+			time.AfterFunc(reuseDelay/2, func() {
+				io.WriteString(remote, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+				for stillOpen(first.Conn) { // until the response has arrived over the loopback
 					runtime.Gosched()
 				}
 			})
-		}, rest, long, false, 2, rest, 1},
-		"called off meanwhile": {func(_ *upstream, _, _ *conn, _ net.Conn, cancel func()) {
-			time.AfterFunc(rest/2, cancel)
-		}, rest, long, false, 0, rest / 2, 1},
+		}, reuseDelay, long, false, 2, reuseDelay, 1},
+		"aborted meanwhile": {func(_ *upstream, _, _ *conn, _ net.Conn, cancel func()) {
+			time.AfterFunc(reuseDelay/2, cancel)
+		}, reuseDelay, long, false, 0, reuseDelay / 2, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
 			synctest.Test(t, func(t *testing.T) {
-				u := pool("127.0.0.1:1", 4) // nobody listens there
-				u.reuseDelay = rest
-				first, far := idleConn(t, u, ln, c.took)
+				u := pool("127.0.0.1:1", 4) // nothing listens there
+				u.reuseDelay = reuseDelay
+				first, remote := idleConn(t, u, ln, c.lastDuration)
 				time.Sleep(time.Millisecond)
-				second, _ := idleConn(t, u, ln, c.took)
+				second, _ := idleConn(t, u, ln, c.lastDuration)
 				start := time.Now()
 				a := newAttempt(time.Time{})
 				defer a.cancel()
-				if c.before != nil {
-					c.before(u, first, second, far, a.cancel)
+				if c.setup != nil {
+					c.setup(u, first, second, remote, a.cancel)
 				}
-				got, err := u.connect(a, u.find(1), time.Now().Add(c.until), c.once)
+				got, err := u.connect(a, u.find(1), time.Now().Add(c.timeLeft), c.atMostOnce)
 				if want := []*conn{nil, first, second}[c.want]; got != want || (err == nil) != (want != nil) {
-					t.Errorf("connection %p and %v, want %d of %p and %p", got, err, c.want, first, second)
+					t.Errorf("connection %p and error %v, want connection %d of %p and %p", got, err, c.want, first, second)
 				}
-				if d := time.Since(start); d != c.after || u.openConns != c.open {
-					t.Errorf("after %v with %d connections, want %v and %d", d, u.openConns, c.after, c.open)
+				if d := time.Since(start); d != c.waited || u.openConns != c.open {
+					t.Errorf("took %v with %d connections open, want %v and %d", d, u.openConns, c.waited, c.open)
 				}
 			})
 		})
 	}
 }
 
-// Connections to a server that drains, moved or started anew are of its former life.
-func TestIdleConnectionsEndWithTheServer(t *testing.T) {
+// The idle connections to a server must be closed when it drains, leaves, moves or restarts.
+func TestServerChangeClosesIdleConnections(t *testing.T) {
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -546,16 +554,16 @@
 		u := pool(addr, 4)
 		attemptOn(u, long)
 		if u.openConns != 1 {
-			t.Fatalf("%s: %d connections to begin with", name, u.openConns)
+			t.Fatalf("%s: %d connections after the first attempt, want 1", name, u.openConns)
 		}
 		if change(u); u.openConns != 0 {
-			t.Errorf("%s: %d connections left", name, u.openConns)
+			t.Errorf("%s: %d connections still open", name, u.openConns)
 		}
 	}
 }
 
-// An idle connection must be gone well before the endpoint's own limit, also where no request comes by.
-func TestIdleConnectionsAreRetired(t *testing.T) {
+// An idle connection must be closed well before the endpoint's idle timeout, even if no further request is sent.
+func TestIdleConnectionsTimeOut(t *testing.T) {
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
@@ -571,25 +579,25 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("%d connections left", open)
+			t.Fatalf("%d connections still open", open)
 		}
 	}
 }
 
-// The time left is told to the endpoint, and the request goes on as it came.
-func TestRequestGoesOnUnchanged(t *testing.T) {
-	seen := make(chan string, 1)
+// A request must be forwarded unchanged, except for the remaining time in X-Deadline.
+func TestRequestIsForwardedUnchanged(t *testing.T) {
+	received := make(chan string, 1)
 	ln := script(t, func(_ int, c net.Conn, r *http.Request) bool {
-		seen <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Host, " ", r.Header["X-Request-Id"], r.Header["User-Agent"])
-		left := r.Header.Get("X-Deadline")
-		if !(left > "9.0" && left < "9.9999") {
-			t.Errorf("X-Deadline %q of ten seconds", left)
+		received <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Host, " ", r.Header["X-Request-Id"], r.Header["User-Agent"])
+		remaining := r.Header.Get("X-Deadline")
+		if !(remaining > "9.0" && remaining < "9.9999") {
+			t.Errorf("X-Deadline %q, want just under ten seconds", remaining)
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
 	attemptOn(pool(ln.Addr().String(), 4), long-10*time.Millisecond)
-	if got, want := <-seen, "GET /browse/x?q=%20 backend.local [1] []"; got != want {
-		t.Errorf("request %q, want %q", got, want)
+	if got, want := <-received, "GET /browse/x?q=%20 backend.local [1] []"; got != want {
+		t.Errorf("forwarded request %q, want %q", got, want)
 	}
 }
