--- a/internal/sidecar/names_test.go
+++ b/internal/sidecar/names_test.go
@@ -18,38 +18,39 @@
 	"forkline/internal/wire"
 )
 
-// names are of one deployment.
-type names struct {
+// deploymentNames are the names in the settings of a deployment.
+type deploymentNames struct {
 	classes, tenants, zones, kinds []string
-	escaped                        bool // classes in paths are percent-encoded
+	escaped                        bool // class names in paths are percent-encoded
 }
 
-// drawn are so many names of random letters from an alphabet.
-func drawn(r *rand.Rand, many int, alphabet string) []string {
+// randomNames returns distinct names of random letters from an alphabet.
+func randomNames(r *rand.Rand, count int, alphabet string) []string {
 	letters := []rune(alphabet)
-	all := make([]string, many)
-	for i := range all {
+	names := make([]string, count)
+	for i := range names {
 		for range 1 + r.IntN(20) {
-			all[i] += string(letters[r.IntN(len(letters))])
+			names[i] += string(letters[r.IntN(len(letters))])
 		}
-		all[i] += fmt.Sprint("-", i) // no two are the same
+		names[i] += fmt.Sprint("-", i) // makes the names distinct
 	}
-	return all
+	return names
 }
 
-// traffic sends a request of each class for each tenant through a sidecar of that deployment. All are served, also for
-// a tenant that the settings don't name and by servers of such zones and kinds; a class that they don't name is not found.
-func traffic(t *testing.T, n names) {
+// checkTraffic sends a request of each class for each tenant through a sidecar with the given names. Every request must be
+// served, also for a tenant that the settings do not contain and by servers of such zones and kinds. A class that they do
+// not contain must get 404.
+func checkTraffic(t *testing.T, n deploymentNames) {
 	effects, methods := []string{"read_like", "non_idempotent", "idempotency_key"}, []string{"GET", "POST", "POST"}
-	var classes, parties []map[string]any
+	var classes, tenants []map[string]any
 	for i, c := range n.classes {
 		classes = append(classes, map[string]any{"name": c, "aim": 5000, "giveUp": 20000, "effect": effects[i%3], "dedupWindow": 10000})
 	}
-	for _, p := range n.tenants {
-		parties = append(parties, map[string]any{"name": p, "quotaPerS": 1000})
+	for _, tenant := range n.tenants {
+		tenants = append(tenants, map[string]any{"name": tenant, "quotaPerS": 1000})
 	}
 	text, err := json.Marshal(map[string]any{
-		"balancers": 1, "stages": []string{"a"}, "zones": n.zones, "kinds": n.kinds, "classes": classes, "parties": parties,
+		"balancers": 1, "stages": []string{"a"}, "zones": n.zones, "kinds": n.kinds, "classes": classes, "parties": tenants,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -83,32 +84,32 @@
 	}
 	c.send("GET", "unnamed", "")
 	if res, _ := c.answer(t); res.StatusCode != 404 {
-		t.Errorf("status %d for a class that is not named", res.StatusCode)
+		t.Errorf("status %d of an unknown class, want 404", res.StatusCode)
 	}
 }
 
-// A deployment may give its classes, tenants, zones and kinds any names, and any number of them: all works the same.
-func TestAnyNamesServe(t *testing.T) {
+// A deployment may have any number of classes, tenants, zones and kinds, with any names. All must be served.
+func TestAnyNamesAreServed(t *testing.T) {
 	const plain = "abcdefghijklmnopqrstuvwxyz"
-	const odd = plain + "ABC0189-._~!$&'()*+,;=:@" // all that may stand in a path as it is
-	const foreign = odd + "äß漢🙂 %?#/\"<>[]^`{|}"   // all that may stand in a header
+	const odd = plain + "ABC0189-._~!$&'()*+,;=:@" // all characters that are not escaped in a path
+	const foreign = odd + "äß漢🙂 %?#/\"<>[]^`{|}"   // all kinds of characters that a header may contain
 	r := rand.New(rand.NewPCG(1, 2))
-	for name, n := range map[string]names{
-		"plain":                {classes: drawn(r, 3, plain), tenants: drawn(r, 3, plain), zones: drawn(r, 3, plain), kinds: drawn(r, 2, plain)},
-		"odd":                  {classes: drawn(r, 6, odd), tenants: drawn(r, 3, foreign), zones: drawn(r, 3, foreign), kinds: drawn(r, 2, foreign)},
-		"escaped":              {classes: drawn(r, 12, foreign), tenants: drawn(r, 3, foreign), escaped: true},
-		"one class alone":      {classes: drawn(r, 1, plain)},
-		"many of all":          {classes: drawn(r, 60, plain), tenants: drawn(r, 8, plain), zones: drawn(r, 40, plain), kinds: drawn(r, 40, plain)},
-		"no zones":             {classes: drawn(r, 3, plain), tenants: drawn(r, 2, plain), kinds: drawn(r, 2, plain)},
-		"no tenants":           {classes: drawn(r, 3, plain), zones: drawn(r, 3, plain), kinds: drawn(r, 2, plain)},
+	for name, n := range map[string]deploymentNames{
+		"plain":                {classes: randomNames(r, 3, plain), tenants: randomNames(r, 3, plain), zones: randomNames(r, 3, plain), kinds: randomNames(r, 2, plain)},
+		"odd":                  {classes: randomNames(r, 6, odd), tenants: randomNames(r, 3, foreign), zones: randomNames(r, 3, foreign), kinds: randomNames(r, 2, foreign)},
+		"escaped":              {classes: randomNames(r, 12, foreign), tenants: randomNames(r, 3, foreign), escaped: true},
+		"one class alone":      {classes: randomNames(r, 1, plain)},
+		"many of all":          {classes: randomNames(r, 60, plain), tenants: randomNames(r, 8, plain), zones: randomNames(r, 40, plain), kinds: randomNames(r, 40, plain)},
+		"no zones":             {classes: randomNames(r, 3, plain), tenants: randomNames(r, 2, plain), kinds: randomNames(r, 2, plain)},
+		"no tenants":           {classes: randomNames(r, 3, plain), zones: randomNames(r, 3, plain), kinds: randomNames(r, 2, plain)},
 		"words of the program": {classes: []string{"-", "all", "x"}, tenants: []string{"", "default"}, zones: []string{"", "0"}, kinds: []string{""}},
 	} {
-		t.Run(name, func(t *testing.T) { traffic(t, n) })
+		t.Run(name, func(t *testing.T) { checkTraffic(t, n) })
 	}
 }
 
-// literals are the strings and characters of a Go file, one a line, as the words of its code are no names; of another
-// file it is all.
+// literals returns the string and character literals of a Go file, one per line, because its identifiers are not names of
+// a deployment. It returns the full text of any other file.
 func literals(path string) (string, error) {
 	text, err := os.ReadFile(path)
 	if err != nil || !strings.HasSuffix(path, ".go") {
@@ -128,32 +129,32 @@
 	}
 }
 
-// No name of a deployment stands in the program, all that the deploy file names: what it is told comes from the
-// settings alone.
-func TestNoNamesOfADeploymentInTheProgram(t *testing.T) {
+// No file of the program that the deployment file lists may contain a name of a deployment. These names must come from the
+// settings only.
+func TestProgramContainsNoDeploymentNames(t *testing.T) {
 	root := filepath.Join("..", "..")
 	sites, err := filepath.Glob(filepath.Join(root, "deploy", "sites", "*", "*.toml"))
 	if err != nil || len(sites) == 0 {
-		t.Fatalf("%d settings, error %v", len(sites), err)
+		t.Fatalf("%d site files, error %v", len(sites), err)
 	}
-	named, listed := regexp.MustCompile(`(?m)^name = "(.+)"$`), regexp.MustCompile(`(?m)^(?:zones|tenants) = \[(.+)\]$`)
-	var all []string
+	nameKey, nameLists := regexp.MustCompile(`(?m)^name = "(.+)"$`), regexp.MustCompile(`(?m)^(?:zones|tenants) = \[(.+)\]$`)
+	var names []string
 	for _, path := range sites {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, m := range named.FindAllStringSubmatch(string(text), -1) {
-			all = append(all, m[1])
+		for _, m := range nameKey.FindAllStringSubmatch(string(text), -1) {
+			names = append(names, m[1])
 		}
-		for _, m := range listed.FindAllStringSubmatch(string(text), -1) {
+		for _, m := range nameLists.FindAllStringSubmatch(string(text), -1) {
 			for name := range strings.SplitSeq(m[1], ",") {
-				all = append(all, strings.Trim(name, ` "`))
+				names = append(names, strings.Trim(name, ` "`))
 			}
 		}
 	}
-	if len(all) < 2*len(sites) {
-		t.Fatalf("only the names %q were found", all)
+	if len(names) < 2*len(sites) {
+		t.Fatalf("found only the names %q", names)
 	}
 	deploy, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
@@ -168,7 +169,7 @@
 		program = append(program, paths...)
 	}
 	if len(program) < 5 {
-		t.Fatalf("the deploy file names only %q", program)
+		t.Fatalf("the deployment file lists only %q", program)
 	}
 	for _, part := range program {
 		err = filepath.WalkDir(filepath.Join(root, part), func(path string, d fs.DirEntry, err error) error {
@@ -176,9 +177,9 @@
 				return err
 			}
 			text, err := literals(path)
-			for _, name := range all {
+			for _, name := range names {
 				if regexp.MustCompile(`\b` + regexp.QuoteMeta(name) + `\b`).MatchString(text) {
-					t.Errorf("%s has the name %q", path, name)
+					t.Errorf("%s contains the name %q", path, name)
 				}
 			}
 			return err
