--- a/cmd/forkline/descriptors_test.go
+++ b/cmd/forkline/descriptors_test.go
@@ -318,8 +318,8 @@
 	}
 }
 
-// Clients open idle connections from the moment the program listens, and discovery is down. The program must become ready
-// and serve requests.
+// Clients try to open idle connections before the program starts, and discovery is down. The program must become ready and
+// serve requests.
 func TestReadyDespiteIdleConnectionsAtStart(t *testing.T) {
 	for _, mode := range []string{"push", "on_request"} {
 		for name, firstBytes := range map[string]string{"silent": "", "partial request": "GET /re"} {
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -194,7 +194,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, events := range []int{3, 1} { // connecting, connected and the outcome; only the outcome if the connection is reused
+	// An attempt on a new connection posts connecting, connected and its outcome, one on a reused connection only its outcome.
+	for i, events := range []int{3, 1} {
 		l.send(&call{outgoing: *get(), respond: func(response) {}}, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: l.now() + 1e6})
 		for range events {
 			(<-l.queue)()
--- a/internal/sidecar/margin_test.go
+++ b/internal/sidecar/margin_test.go
@@ -55,7 +55,7 @@
 		}
 		io.Copy(io.Discard, res.Body)
 		if time.Since(sentAt) == 0 {
-			t.Fatal("a call was refused before its deadline")
+			t.Fatal("a call was refused immediately")
 		}
 	}
 }
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -204,8 +204,8 @@
 	}
 }
 
-// An endpoint may silently drop connections that were idle for a while, and an at-most-once request sent on one is lost. Once
-// such a drop has been observed, these requests must use new connections, while others may try the idle ones.
+// An endpoint may silently drop connections that were idle for a while, and an at-most-once request sent on one is lost.
+// Once such a drop has been observed, these requests must use new connections, while others may try the idle ones.
 func TestAtMostOnceRequestsAvoidIdleConnections(t *testing.T) {
 	requests := make(chan int, 10)
 	ln := script(t, func(n int, c net.Conn, req *http.Request) bool {
@@ -385,8 +385,8 @@
 	}
 }
 
-// The module states by when the last byte of a retry must be written. The sidecar must observe this limit, even if the drain
-// grace is longer or not stated. A late retry counts as not run.
+// The module states by when the last byte of a retry must be written. The sidecar must observe this limit, even if the
+// drain grace is longer or not stated. A late retry counts as not run.
 func TestLateRetryIsNotWritten(t *testing.T) {
 	for _, grace := range []float64{0, 1e6} {
 		requests := make(chan struct{}, 1)
@@ -464,10 +464,10 @@
 	return c, remote
 }
 
-// An attempt must wait for the reuse delay of a connection that was just used instead of dialing a new one. A new connection
-// costs its endpoint work and stays open, so sequential calls would use two connections where one suffices. But an attempt
-// must not wait longer than requests take, because the module would take the wait for a silent endpoint and cancel the
-// attempt. The test runs in virtual time.
+// An attempt must wait for the reuse delay of a connection that was just used instead of dialing a new one. A new
+// connection costs its endpoint work and stays open, so sequential calls would use two connections where one suffices. But
+// an attempt must not wait longer than requests take, because the module would take the wait for a silent endpoint and
+// cancel the attempt. The test runs in virtual time.
 func TestReuseDelayIsAwaited(t *testing.T) {
 	const reuseDelay = 10 * time.Millisecond
 	for name, c := range map[string]struct {
