--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -12,8 +12,8 @@
 
 // Where all connections have open requests nobody can be evicted: a new one is closed at once, which its client can
 // tell from a lost request, and those behind it are not held up.
-func TestNoRoomWhereAllHaveOpenRequests(t *testing.T) {
-	const most = 4
+func TestNewConnectionIsClosedWhenAllHaveOpenRequests(t *testing.T) {
+	const maxConns = 4
 	release := make(chan struct{})
 	cfg := config(t, script(t, func(n int, c net.Conn, r *http.Request) bool { <-release; return echo(n, c, r) }).Addr().String())
 	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds())
@@ -21,17 +21,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.cachedListDelay, s.front.drainAcceptTime, s.front.downstream.maxConns = 0, 0, most
+	s.cachedListDelay, s.front.drainAcceptTime, s.front.downstream.maxConns = 0, 0, maxConns
 	go s.Run(t.Context())
-	clients := make([]*client, most)
+	clients := make([]*client, maxConns)
 	for i := range clients {
 		clients[i] = dial(t, s)
 		clients[i].id = fmt.Sprint(i)
 		clients[i].send("GET", "read", "")
 	}
-	eventually(t, "all requests", func() (all bool) {
-		s.loop.postAndWait(func() { all = len(s.loop.calls) == most })
-		return all
+	eventually(t, "all requests", func() (allOpen bool) {
+		s.loop.postAndWait(func() { allOpen = len(s.loop.calls) == maxConns })
+		return allOpen
 	})
 	for range 2 {
 		dial(t, s).ends(t)
@@ -46,7 +46,7 @@
 
 // Clients that send the first bytes of a request, and come again as soon as they are ended, keep nobody out: a new
 // connection gets its turn behind those that came before it.
-func TestRequestsThatNeverBecomeWholeKeepNobodyOut(t *testing.T) {
+func TestIncompleteRequestsDoNotBlockNewClients(t *testing.T) {
 	s, _ := serving(t, func(s *Sidecar) { s.front.downstream.maxConns = 2 * evictionHeadroom })
 	addr := s.listener.Addr().String()
 	for range 4 * evictionHeadroom {
@@ -56,7 +56,7 @@
 				if err != nil {
 					return
 				}
-				fmt.Fprint(c, firstHalf)
+				fmt.Fprint(c, requestFirstHalf)
 				c.Read(make([]byte, 1))
 				c.Close()
 			}
@@ -76,8 +76,8 @@
 
 // Calls to a silent discovery wait beside each other, each with a descriptor; what is reserved has room for them all
 // beside what the process holds by itself, also at the least limit. At the end of a call's time the next is begun first.
-func TestReservedCoversCallsToASilentDiscovery(t *testing.T) {
-	const own = 14 // seen in the program at its limit: runtime, standard streams, listener, configuration
+func TestReservedSocketsCoverDiscoveryCalls(t *testing.T) {
+	const ownDescriptors = 14 // seen in the program at its limit: runtime, standard streams, listener, configuration
 	for name, p := range map[string]listwatch.Policy{"asked": listwatch.PollPolicy, "pushed": listwatch.PushPolicy} {
 		random := func() float64 { return 0 } // the shortest pauses
 		w := listwatch.NewWatcher(p, random)
@@ -85,27 +85,27 @@
 		if p.RetryDelay > 0 {
 			kind = listwatch.EvStart
 		}
-		out, most := 0, 0
-		hear := func(now time.Duration, ev listwatch.Event) {
+		open, maxOpen := 0, 0
+		handle := func(now time.Duration, ev listwatch.Event) {
 			for _, a := range w.Handle(now, ev, nil) {
 				switch a.Kind {
 				case listwatch.ActStartCall:
-					out++
+					open++
 				case listwatch.ActCancelCall:
-					out--
+					open--
 				}
-				most = max(most, out)
+				maxOpen = max(maxOpen, open)
 			}
 		}
 		for now := time.Duration(0); now < time.Minute; now += time.Millisecond {
 			if now == 0 || p.RetryDelay == 0 && now%time.Second == 0 { // the module's shortest round
-				hear(now, listwatch.Event{Kind: kind})
+				handle(now, listwatch.Event{Kind: kind})
 			}
-			hear(now, listwatch.Event{Kind: listwatch.EvTick})
+			handle(now, listwatch.Event{Kind: listwatch.EvTick})
 		}
-		if most < 2 || own+most > reservedSockets(MinSockets) {
-			t.Errorf("%s: %d calls wait, %d descriptors are reserved", name, most, reservedSockets(MinSockets))
+		if maxOpen < 2 || ownDescriptors+maxOpen > reservedSockets(MinSockets) {
+			t.Errorf("%s: %d calls wait, %d descriptors are reserved", name, maxOpen, reservedSockets(MinSockets))
 		}
-		t.Logf("%s: %d calls", name, most)
+		t.Logf("%s: %d calls", name, maxOpen)
 	}
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -18,7 +18,7 @@
 )
 
 // toldAfter is when a change counts as told after discovery had it and could be reached; toldAfterMove after a SIGHUP.
-const toldAfter, toldAfterMove = 6 * time.Second, 4 * time.Second
+const notifyLimit, notifyLimitAfterMove = 6 * time.Second, 4 * time.Second
 
 // unhurried is a policy of real time that waits for as long as a busy machine may take, but for a silent watch.
 func unhurried(silence time.Duration) listwatch.Policy {
@@ -28,94 +28,94 @@
 }
 
 // away is what becomes of a call to a discovery that is away.
-type away string
+type outage string
 
 const (
-	up       away = ""
-	refused  away = "refused"
-	hanging  away = "no connection"
-	busy     away = "503"
-	unspoken away = "accepted and silent"
+	noOutage       outage = ""
+	connRefused    outage = "refused"
+	connHangs      outage = "no connection"
+	unavailable503 outage = "503"
+	acceptedSilent outage = "accepted and silent"
 )
 
 // service is a discovery in virtual time: it handles calls in turn, also such as were given up, and its watches beat.
-type service struct {
-	turn time.Duration
+type simulatedDiscovery struct {
+	callTime time.Duration
 
-	mu       sync.Mutex
-	state    away
-	down     chan struct{} // closed when it goes away, or its watches fall silent
-	mute     bool          // they fall silent, and their connections stay
-	free     time.Time     // when the next call's turn is
-	calls    []time.Time
-	since    time.Time   // it came back, or its watches fell silent
-	answered []time.Time // by copy, first after that
+	mu            sync.Mutex
+	outage        outage
+	interrupted   chan struct{} // closed when it goes away, or its watches fall silent
+	watchesSilent bool          // they fall silent, and their connections stay
+	nextFree      time.Time     // when the next call's turn is
+	callTimes     []time.Time
+	changedAt     time.Time   // it came back, or its watches fell silent
+	answeredAt    []time.Time // by copy, first after that
 }
 
-func newService(copies int, turn time.Duration) *service {
-	return &service{turn: turn, answered: make([]time.Time, copies), down: make(chan struct{})}
+func newSimulatedDiscovery(copies int, callTime time.Duration) *simulatedDiscovery {
+	return &simulatedDiscovery{callTime: callTime, answeredAt: make([]time.Time, copies), interrupted: make(chan struct{})}
 }
 
 // turnTo has it go away or come back.
-func (s *service) turnTo(state away) {
+func (s *simulatedDiscovery) setOutage(kind outage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.state = state; state == up {
-		s.since = time.Now()
+	if s.outage = kind; kind == noOutage {
+		s.changedAt = time.Now()
 		return
 	}
-	close(s.down)
-	s.down = make(chan struct{})
+	close(s.interrupted)
+	s.interrupted = make(chan struct{})
 }
 
 // silence has the watches fall silent; calls are handled as before.
-func (s *service) silence() {
+func (s *simulatedDiscovery) silenceWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.since, s.mute = time.Now(), true
-	close(s.down)
-	s.down = make(chan struct{})
+	s.changedAt, s.watchesSilent = time.Now(), true
+	close(s.interrupted)
+	s.interrupted = make(chan struct{})
 }
 
-func (s *service) dial(ctx context.Context, number int, timeout time.Duration) (net.Conn, error) {
+func (s *simulatedDiscovery) dial(ctx context.Context, copyRank int, timeout time.Duration) (net.Conn, error) {
 	s.mu.Lock()
-	s.calls = append(s.calls, time.Now())
-	state := s.state
+	s.callTimes = append(s.callTimes, time.Now())
+	kind := s.outage
 	s.mu.Unlock()
-	switch state {
-	case refused:
+	switch kind {
+	case connRefused:
 		return nil, errors.New("refused")
-	case hanging:
+	case connHangs:
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
-	here, there := net.Pipe()
-	go s.serve(there, number)
-	return here, nil
+	local, remote := net.Pipe()
+	go s.serve(remote, copyRank)
+	return local, nil
 }
 
-func (s *service) serve(c net.Conn, number int) {
+func (s *simulatedDiscovery) serve(c net.Conn, copyRank int) {
 	defer c.Close()
 	if _, err := http.ReadRequest(bufio.NewReader(c)); err != nil {
 		return
 	}
 	s.mu.Lock()
-	state, down, now := s.state, s.down, time.Now()
-	if state == up {
-		if s.free.Before(now) {
-			s.free = now
+	kind, interrupted, now := s.outage, s.interrupted, time.Now()
+	if kind == noOutage {
+		if s.nextFree.Before(now) {
+			s.nextFree = now
 		}
-		s.free = s.free.Add(s.turn)
+		s.nextFree = s.nextFree.Add(s.callTime)
 	}
-	wait := s.free.Sub(now)
+	wait := s.nextFree.Sub(now)
 	s.mu.Unlock()
-	switch state {
-	case busy:
+	switch kind {
+	case unavailable503:
 		fmt.Fprint(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		return
-	case unspoken:
+	case acceptedSilent:
 		c.Read(make([]byte, 1)) // until the caller goes
 		return
 	}
@@ -124,17 +124,17 @@
 		return
 	}
 	s.mu.Lock()
-	if !s.answered[number].After(s.since) {
-		s.answered[number] = time.Now()
+	if !s.answeredAt[copyRank].After(s.changedAt) {
+		s.answeredAt[copyRank] = time.Now()
 	}
 	s.mu.Unlock()
 	for {
 		select {
-		case <-down:
+		case <-interrupted:
 			s.mu.Lock()
-			mute := s.mute
+			silent := s.watchesSilent
 			s.mu.Unlock()
-			if mute {
+			if silent {
 				c.Read(make([]byte, 1)) // until the caller goes
 			}
 			return
@@ -147,11 +147,11 @@
 }
 
 // last is how long after the given time the last copy was answered; ok is false if one was not.
-func (s *service) last(after time.Time) (last time.Duration, ok bool) {
+func (s *simulatedDiscovery) lastAnswered(after time.Time) (last time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	ok = true
-	for _, at := range s.answered {
+	for _, at := range s.answeredAt {
 		ok = ok && !at.Before(after)
 		last = max(last, at.Sub(after))
 	}
@@ -159,53 +159,53 @@
 }
 
 // rate is the calls a second within a time, the mean and the most that began within one second.
-func (s *service) rate(from, to time.Time) (mean float64, most int) {
+func (s *simulatedDiscovery) callRate(from, to time.Time) (mean float64, peak int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !from.Before(to) {
 		return 0, 0
 	}
 	n, first := 0, 0
-	for i, at := range s.calls {
-		for at.Sub(s.calls[first]) >= time.Second-time.Millisecond || s.calls[first].Before(from) && first < i {
+	for i, at := range s.callTimes {
+		for at.Sub(s.callTimes[first]) >= time.Second-time.Millisecond || s.callTimes[first].Before(from) && first < i {
 			first++
 		}
 		if !at.Before(from) && at.Before(to) {
-			n, most = n+1, max(most, i-first+1)
+			n, peak = n+1, max(peak, i-first+1)
 		}
 	}
-	return float64(n) / to.Sub(from).Seconds(), most
+	return float64(n) / to.Sub(from).Seconds(), peak
 }
 
 // fleet runs the module and discovery of so many copies, with no sockets, until the test ends.
-func fleet(t *testing.T, copies int, asked bool, services map[string]*service) (move func(addr string), stop func()) {
+func startFleet(t *testing.T, copies int, polled bool, discoveries map[string]*simulatedDiscovery) (move func(addr string), stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var all []*discovery
+	var clients []*discovery
 	var loops []*loop
 	for i := range copies {
 		cfg := config(t)
 		cfg.Seed, cfg.Discovery = uint64(i), "a:1"
 		set := &cfg.Site.Settings
-		set.Copies, set.Rank, set.PollList = copies, i, asked
+		set.Copies, set.Rank, set.PollList = copies, i, polled
 		l, err := newLoop(&cfg, newUpstream(set.Limits, 0, 4))
 		if err != nil {
 			t.Fatal(err)
 		}
 		d := newDiscovery(&cfg, l)
 		d.dial = func(ctx context.Context, addr string) (net.Conn, error) {
-			return services[addr].dial(ctx, i, d.policy.DialTimeout)
+			return discoveries[addr].dial(ctx, i, d.policy.DialTimeout)
 		}
 		l.requestWatch = func() { go d.poll(ctx) }
 		go l.run()
-		if asked {
+		if polled {
 			l.post(func() { l.updateList(List{}, forkline.ListCached) })
 		} else {
 			d.follow(ctx)
 		}
-		all, loops = append(all, d), append(loops, l)
+		clients, loops = append(clients, d), append(loops, l)
 	}
 	move = func(addr string) {
-		for i, d := range all {
+		for i, d := range clients {
 			if d.move(addr) {
 				loops[i].post(func() { loops[i].handleListEvent(forkline.ListMoved) })
 			}
@@ -220,21 +220,21 @@
 }
 
 // What open watches miss when they fall silent counts as told 6 s after.
-func TestSilentWatchesAreTakenUpInTime(t *testing.T) {
-	for _, asked := range []bool{true, false} {
+func TestSilentWatchesAreReplacedInTime(t *testing.T) {
+	for _, polled := range []bool{true, false} {
 		for _, copies := range []int{12, 300} {
 			synctest.Test(t, func(t *testing.T) {
-				s := newService(copies, 10*time.Millisecond)
-				_, stop := fleet(t, copies, asked, map[string]*service{"a:1": s})
+				s := newSimulatedDiscovery(copies, 10*time.Millisecond)
+				_, stop := startFleet(t, copies, polled, map[string]*simulatedDiscovery{"a:1": s})
 				time.Sleep(20 * time.Second)
-				s.silence()
-				silent := time.Now()
+				s.silenceWatches()
+				silentAt := time.Now()
 				time.Sleep(15 * time.Second)
-				last, ok := s.last(silent)
-				_, most := s.rate(silent, silent.Add(toldAfter))
-				t.Logf("%d copies, asked %v: last answered after %.2f s, up to %d calls a second", copies, asked, last.Seconds(), most)
-				if !ok || last > toldAfter || asked && most > copies {
-					t.Errorf("all answered: %v, the last after %v, up to %d calls a second", ok, last, most)
+				last, ok := s.lastAnswered(silentAt)
+				_, peak := s.callRate(silentAt, silentAt.Add(notifyLimit))
+				t.Logf("%d copies, asked %v: last answered after %.2f s, up to %d calls a second", copies, polled, last.Seconds(), peak)
+				if !ok || last > notifyLimit || polled && peak > copies {
+					t.Errorf("all answered: %v, the last after %v, up to %d calls a second", ok, last, peak)
 				}
 				stop()
 				time.Sleep(time.Minute)
@@ -246,13 +246,13 @@
 // After an outage every copy has asked and been answered within the 6 s, however calls failed meanwhile and however
 // long it was; after a SIGHUP to where discovery answers within 4 s. Calls are handled in turn, 10 ms each, and
 // neither while discovery is away nor at its return do they come in a herd.
-func TestChangesAreToldInTime(t *testing.T) {
+func TestChangesReachAllCopiesInTime(t *testing.T) {
 	for _, c := range []struct {
-		copies int
-		asked  bool
-		outage time.Duration
-		rate   float64 // most calls a second by all copies while discovery is away, on average
-		most   int     // and within any second, while it is away and at its return; pushed: by the shortest pause
+		copies      int
+		polled      bool
+		duration    time.Duration
+		maxMeanRate float64 // most calls a second by all copies while discovery is away, on average
+		maxPeakRate int     // and within any second, while it is away and at its return; pushed: by the shortest pause
 	}{
 		{12, true, 1200 * time.Millisecond, 0, 12},
 		{300, true, 1200 * time.Millisecond, 0, 300},
@@ -264,51 +264,51 @@
 		{12, false, 300 * time.Second, 66, 132},
 		{300, false, 10 * time.Second, 1600, 3300},
 	} {
-		for _, state := range []away{refused, hanging, busy, unspoken} {
-			for _, moves := range []bool{false, true} {
-				if moves && c.copies == 300 && c.outage == 300*time.Second {
+		for _, kind := range []outage{connRefused, connHangs, unavailable503, acceptedSilent} {
+			for _, addrChanges := range []bool{false, true} {
+				if addrChanges && c.copies == 300 && c.duration == 300*time.Second {
 					continue // as with 12 copies; it takes long
 				}
-				way := map[bool]string{true: "asked", false: "pushed"}[c.asked]
-				name := fmt.Sprintf("%d %s/%v/%s/moves=%v", c.copies, way, c.outage, state, moves)
+				mode := map[bool]string{true: "asked", false: "pushed"}[c.polled]
+				name := fmt.Sprintf("%d %s/%v/%s/moves=%v", c.copies, mode, c.duration, kind, addrChanges)
 				t.Run(name, func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						old, next := newService(c.copies, 10*time.Millisecond), newService(c.copies, 10*time.Millisecond)
-						move, stop := fleet(t, c.copies, c.asked, map[string]*service{"a:1": old, "b:1": next})
+						old, next := newSimulatedDiscovery(c.copies, 10*time.Millisecond), newSimulatedDiscovery(c.copies, 10*time.Millisecond)
+						move, stop := startFleet(t, c.copies, c.polled, map[string]*simulatedDiscovery{"a:1": old, "b:1": next})
 						time.Sleep(20 * time.Second)
-						if _, ok := old.last(time.Time{}.Add(1)); !ok {
+						if _, ok := old.lastAnswered(time.Time{}.Add(1)); !ok {
 							t.Error("not all were answered at the start")
 						}
-						gone := time.Now()
-						old.turnTo(state)
-						time.Sleep(c.outage)
-						back, limit := time.Now(), toldAfter
-						if moves {
-							limit = toldAfterMove
-							next.turnTo(state)
+						outageAt := time.Now()
+						old.setOutage(kind)
+						time.Sleep(c.duration)
+						restoredAt, limit := time.Now(), notifyLimit
+						if addrChanges {
+							limit = notifyLimitAfterMove
+							next.setOutage(kind)
 							move("b:1")
 							time.Sleep(500 * time.Millisecond) // the first calls there fail
-							next.turnTo(up)
+							next.setOutage(noOutage)
 						} else {
-							old.turnTo(up)
+							old.setOutage(noOutage)
 							next = old
 						}
 						time.Sleep(15 * time.Second)
-						last, ok := next.last(back)
-						settled := gone.Add(6 * time.Second) // past the first round, which a broken watch has sooner
-						meanAway, mostAway := old.rate(settled, back)
-						_, first := old.rate(gone, settled)
-						_, mostBack := next.rate(back, back.Add(toldAfter))
+						last, ok := next.lastAnswered(restoredAt)
+						firstRoundEnd := outageAt.Add(6 * time.Second) // past the first round, which a broken watch has sooner
+						outageMean, outagePeak := old.callRate(firstRoundEnd, restoredAt)
+						_, firstPeak := old.callRate(outageAt, firstRoundEnd)
+						_, returnPeak := next.callRate(restoredAt, restoredAt.Add(notifyLimit))
 						t.Logf("last answered after %.2f s; calls a second: at first %d, then %.1f, at most %d; at the return %d",
-							last.Seconds(), first, meanAway, mostAway, mostBack)
+							last.Seconds(), firstPeak, outageMean, outagePeak, returnPeak)
 						if !ok || last > limit {
 							t.Errorf("all answered: %v, the last after %v, want %v", ok, last, limit)
 						}
-						if meanAway > c.rate || mostAway > c.most {
-							t.Errorf("%.1f calls a second, up to %d", meanAway, mostAway)
+						if outageMean > c.maxMeanRate || outagePeak > c.maxPeakRate {
+							t.Errorf("%.1f calls a second, up to %d", outageMean, outagePeak)
 						}
-						if most := max(c.most, c.copies); mostBack > most || !moves && mostBack > c.most {
-							t.Errorf("up to %d calls a second at the return", mostBack)
+						if maxReturnPeak := max(c.maxPeakRate, c.copies); returnPeak > maxReturnPeak || !addrChanges && returnPeak > c.maxPeakRate {
+							t.Errorf("up to %d calls a second at the return", returnPeak)
 						}
 						stop()
 						time.Sleep(time.Minute) // until all that the services do is over
@@ -321,20 +321,20 @@
 
 // A sidecar serves with 1,024 endpoints and copies: it takes them from its old list, changes and whole lists.
 func TestManyEndpointsAndCopies(t *testing.T) {
-	const many = 1024
+	const count = 1024
 	cfg := config(t)
-	cfg.Site.Settings.Copies, cfg.Site.Settings.Rank = many, many-1
+	cfg.Site.Settings.Copies, cfg.Site.Settings.Rank = count, count-1
 	addr := script(t, echo).Addr().String()
-	for i := range many {
+	for i := range count {
 		cfg.InitialList.Targets = append(cfg.InitialList.Targets,
 			Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", Kind: "k", State: "Ready"})
 	}
 	s := start(t, cfg)
-	listed := func() (listed, usable int) {
+	countServers := func() (listed, usable int) {
 		s.loop.postAndWait(func() { listed, usable = len(s.loop.serverReady), s.loop.readyServers })
 		return listed, usable
 	}
-	serves := func(id string) {
+	expectServed := func(id string) {
 		t.Helper()
 		c := dial(t, s)
 		c.id = id
@@ -343,19 +343,19 @@
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
-	serves("known")
-	half := List{}
+	expectServed("known")
+	halfDraining := List{}
 	for i, target := range cfg.InitialList.Targets {
 		if i%2 == 0 {
 			target.State = "Terminating"
 		}
-		half.Targets = append(half.Targets, target)
+		halfDraining.Targets = append(halfDraining.Targets, target)
 	}
-	s.loop.postAndWait(func() { s.loop.updateList(half, forkline.ListDelta) })
-	if all, usable := listed(); all != many || usable != many/2 {
-		t.Errorf("%d listed and %d usable, want %d and %d", all, usable, many, many/2)
+	s.loop.postAndWait(func() { s.loop.updateList(halfDraining, forkline.ListDelta) })
+	if all, usable := countServers(); all != count || usable != count/2 {
+		t.Errorf("%d listed and %d usable, want %d and %d", all, usable, count, count/2)
 	}
-	serves("half")
+	expectServed("half")
 	text, err := json.Marshal(List{Rev: 3, Full: true, Targets: cfg.InitialList.Targets})
 	if err != nil {
 		t.Fatal(err)
@@ -365,11 +365,11 @@
 		t.Fatal(err)
 	}
 	s.loop.postAndWait(func() { s.loop.updateList(list, forkline.ListFull) })
-	if all, usable := listed(); all != many || usable != many {
-		t.Errorf("%d listed and %d usable, want %d of each", all, usable, many)
+	if all, usable := countServers(); all != count || usable != count {
+		t.Errorf("%d listed and %d usable, want %d of each", all, usable, count)
 	}
-	serves("whole")
-	if changed := list.merge(half); len(changed.Targets) != many || changed.Targets[0].State != "Terminating" {
-		t.Errorf("%d targets after the changes, the first %+v", len(changed.Targets), changed.Targets[0])
+	expectServed("whole")
+	if merged := list.merge(halfDraining); len(merged.Targets) != count || merged.Targets[0].State != "Terminating" {
+		t.Errorf("%d targets after the changes, the first %+v", len(merged.Targets), merged.Targets[0])
 	}
 }
--- a/internal/sidecar/leaving_test.go
+++ b/internal/sidecar/leaving_test.go
@@ -19,32 +19,32 @@
 // its mail full: it decides on what waited for it before it hears of the leaving. No attempt may begin all the same.
 
 // seize has the loop busy, once it has done what is in its mail, until it is freed.
-func seize(s *Sidecar) *seized {
-	z := &seized{s, make(chan func()), make(chan struct{})}
+func occupyLoop(s *Sidecar) *occupiedLoop {
+	o := &occupiedLoop{s, make(chan func()), make(chan struct{})}
 	s.loop.post(func() {
-		for f := range z.work {
+		for f := range o.work {
 			f()
-			z.done <- struct{}{}
+			o.done <- struct{}{}
 		}
 	})
-	return z
+	return o
 }
 
 // seized is a loop that does only what its test gives it.
-type seized struct {
+type occupiedLoop struct {
 	s    *Sidecar
 	work chan func()
 	done chan struct{}
 }
 
-func (z *seized) do(f func()) { z.work <- f; <-z.done }
-func (z *seized) free()       { close(z.work) }
+func (o *occupiedLoop) do(f func()) { o.work <- f; <-o.done }
+func (o *occupiedLoop) release()    { close(o.work) }
 
 // settle waits until every attempt that the loop knows of is over.
-func (z *seized) settle() {
+func (o *occupiedLoop) awaitAttempts() {
 	var attempts []*attempt
-	z.do(func() {
-		for _, c := range z.s.loop.calls {
+	o.do(func() {
+		for _, c := range o.s.loop.calls {
 			attempts = append(attempts, c.attempts...)
 		}
 	})
@@ -54,71 +54,71 @@
 }
 
 // leaver is a client together with the sidecar's end of its connection.
-type leaver struct {
+type trackedClient struct {
 	*client
-	far *net.TCPConn
+	serverConn *net.TCPConn
 }
 
 // watched runs a sidecar that serves its callers through connections which the test can look at, and returns what
 // makes a client of it.
-func watched(t *testing.T, cfg Config, change func(*Sidecar)) (*Sidecar, func(id string) leaver) {
+func startTracked(t *testing.T, cfg Config, configure func(*Sidecar)) (*Sidecar, func(id string) trackedClient) {
 	t.Helper()
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.cachedListDelay = 0
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
-	far := make(chan *net.TCPConn, 100)
-	hooked(func(c *net.TCPConn) net.Conn { far <- c; return c })(s)
+	serverConns := make(chan *net.TCPConn, 100)
+	withConnWrapper(func(c *net.TCPConn) net.Conn { serverConns <- c; return c })(s)
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.Run(ctx)
 	t.Cleanup(func() { s.discovery.move(nowhere()); s.front.drainAcceptTime = 0; cancel() })
-	eventually(t, "the list", func() (has bool) {
-		s.loop.postAndWait(func() { has = len(s.loop.serverReady) > 0 })
-		return has
+	eventually(t, "the list", func() (applied bool) {
+		s.loop.postAndWait(func() { applied = len(s.loop.serverReady) > 0 })
+		return applied
 	})
-	return s, func(id string) leaver {
+	return s, func(id string) trackedClient {
 		c := dial(t, s)
 		c.id = id
-		return leaver{c, <-far}
+		return trackedClient{c, <-serverConns}
 	}
 }
 
 // leaves has the client leave, and waits until the sidecar's machine knows.
-func (l leaver) leaves(t *testing.T, way func(*net.TCPConn)) {
+func (c trackedClient) disconnect(t *testing.T, how func(*net.TCPConn)) {
 	t.Helper()
-	way(l.Conn.(*net.TCPConn))
-	raw, err := l.far.SyscallConn()
+	how(c.Conn.(*net.TCPConn))
+	raw, err := c.serverConn.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "the end of the connection", func() (left bool) {
-		err := raw.Control(func(fd uintptr) { left = hungUp(fd) })
-		return left || err != nil // the sidecar has closed its end by now
+	eventually(t, "the end of the connection", func() (closed bool) {
+		err := raw.Control(func(fd uintptr) { closed = hungUp(fd) })
+		return closed || err != nil // the sidecar has closed its end by now
 	})
 }
 
-func closes(c *net.TCPConn) { c.Close() }
+func closeConn(c *net.TCPConn) { c.Close() }
 
 // leavings are the ways to leave.
-var leavings = map[string]func(*net.TCPConn){
-	"closed": closes,
+var disconnectModes = map[string]func(*net.TCPConn){
+	"closed": closeConn,
 	"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"ended":  func(c *net.TCPConn) { c.CloseWrite() },
 }
 
 // mailed waits until something is in the loop's mail.
-func mailed(t *testing.T, s *Sidecar) {
+func awaitQueuedEvent(t *testing.T, s *Sidecar) {
 	t.Helper()
 	eventually(t, "the loop's mail", func() bool { return len(s.loop.queue) > 0 })
 }
 
 // forgets sees that nothing is kept of those that left, that the next request to come out is a further one, and that
 // it is served.
-func forgets(t *testing.T, s *Sidecar, came <-chan string) {
+func expectNothingKept(t *testing.T, s *Sidecar, received <-chan string) {
 	t.Helper()
 	eventually(t, "the end of all that was kept", func() (none bool) {
 		s.loop.postAndWait(func() { none = len(s.loop.calls)+len(s.loop.callsByID)+len(s.loop.pendingRetries) == 0 })
@@ -130,67 +130,67 @@
 	if res, _ := c.answer(t); res.StatusCode != 200 {
 		t.Errorf("status %d for a further request", res.StatusCode)
 	}
-	if id := <-came; id != "mark" {
+	if id := <-received; id != "mark" {
 		t.Errorf("request %q was sent on though its client had left", id)
 	}
 }
 
 // noting serves every request and notes its id.
-func noting(t *testing.T) (string, chan string) {
-	came := make(chan string, 100)
+func recordingServer(t *testing.T) (string, chan string) {
+	received := make(chan string, 100)
 	return script(t, func(n int, c net.Conn, r *http.Request) bool {
-		came <- r.Header.Get("X-Request-Id")
+		received <- r.Header.Get("X-Request-Id")
 		return echo(n, c, r)
-	}).Addr().String(), came
+	}).Addr().String(), received
 }
 
 // The client leaves while its request is in the loop's mail.
-func TestLeavingBeforeTheLoopTakesTheRequest(t *testing.T) {
-	for way, leave := range leavings {
-		t.Run(way, func(t *testing.T) {
-			addr, came := noting(t)
-			s, arrive := watched(t, patient(t, addr), nil)
-			first := seize(s)
-			c := arrive("left")
+func TestDisconnectBeforeLoopAcceptsRequest(t *testing.T) {
+	for mode, how := range disconnectModes {
+		t.Run(mode, func(t *testing.T) {
+			addr, received := recordingServer(t)
+			s, connect := startTracked(t, patient(t, addr), nil)
+			occupied := occupyLoop(s)
+			c := connect("left")
 			c.send("GET", "read", "")
-			mailed(t, s)
-			second := seize(s) // ahead of the news
-			c.leaves(t, leave)
-			first.free()
-			second.settle()
-			second.free()
-			forgets(t, s, came)
+			awaitQueuedEvent(t, s)
+			reoccupied := occupyLoop(s) // ahead of the news
+			c.disconnect(t, how)
+			occupied.release()
+			reoccupied.awaitAttempts()
+			reoccupied.release()
+			expectNothingKept(t, s, received)
 		})
 	}
 }
 
 // The client leaves while its request is queued. What it had sent behind the request may hide that.
-func TestLeavingWhileQueued(t *testing.T) {
-	for way, leave := range leavings {
-		for behind, n := range map[string]int{"nothing": 0, "a little": 9, "more than is read": 9000} {
-			for _, full := range []bool{false, true} {
-				t.Run(fmt.Sprint(way, "/", behind, "/full ", full), func(t *testing.T) {
-					addr, came := noting(t)
+func TestDisconnectWhileQueued(t *testing.T) {
+	for mode, how := range disconnectModes {
+		for pipelined, n := range map[string]int{"nothing": 0, "a little": 9, "more than is read": 9000} {
+			for _, fullQueue := range []bool{false, true} {
+				t.Run(fmt.Sprint(mode, "/", pipelined, "/full ", fullQueue), func(t *testing.T) {
+					addr, received := recordingServer(t)
 					cfg := patient(t, addr)
 					cfg.InitialList.Targets[0].State = "Terminating"
-					s, arrive := watched(t, cfg, nil)
-					c := arrive("left")
+					s, connect := startTracked(t, cfg, nil)
+					c := connect("left")
 					c.send("GET", "read", "")
-					taken(t, s, func(*call) bool { return true })
-					z := seize(s)
-					for full && len(s.loop.queue) < cap(s.loop.queue) {
+					awaitCall(t, s, func(*call) bool { return true })
+					occupied := occupyLoop(s)
+					for fullQueue && len(s.loop.queue) < cap(s.loop.queue) {
 						s.loop.queue <- func() {}
 					}
 					io.WriteString(c, strings.Repeat("x", n))
-					c.leaves(t, leave)
-					z.do(func() {
+					c.disconnect(t, how)
+					occupied.do(func() {
 						target := cfg.InitialList.Targets[0]
 						target.State = "Ready"
 						s.loop.updateList(List{Targets: []Target{target}}, forkline.ListDelta)
 					})
-					z.settle()
-					z.free()
-					forgets(t, s, came)
+					occupied.awaitAttempts()
+					occupied.release()
+					expectNothingKept(t, s, received)
 				})
 			}
 		}
@@ -199,50 +199,50 @@
 
 // Client after client leaves just before its request is sent. The module must not count those attempts as open for
 // good: a further request finds room.
-func TestManyLeaveWhileQueued(t *testing.T) {
-	addr, came := noting(t)
+func TestManyDisconnectsWhileQueued(t *testing.T) {
+	addr, received := recordingServer(t)
 	cfg := patient(t, addr)
 	cfg.InitialList.Targets[0].State = "Terminating"
-	s, arrive := watched(t, cfg, nil)
-	for decided, end := 0, time.Now().Add(long); decided < 50; {
+	s, connect := startTracked(t, cfg, nil)
+	for startedAttempts, end := 0, time.Now().Add(long); startedAttempts < 50; {
 		if time.Now().After(end) {
-			t.Fatalf("no more than %d attempts are decided on", decided)
+			t.Fatalf("no more than %d attempts are decided on", startedAttempts)
 		}
-		told(s, &cfg, "Terminating")
-		c := arrive("left")
+		setServerState(s, &cfg, "Terminating")
+		c := connect("left")
 		c.send("GET", "read", "")
-		taken(t, s, func(*call) bool { return true })
-		z := seize(s)
-		c.leaves(t, closes)
-		z.do(func() {
+		awaitCall(t, s, func(*call) bool { return true })
+		occupied := occupyLoop(s)
+		c.disconnect(t, closeConn)
+		occupied.do(func() {
 			target := cfg.InitialList.Targets[0]
 			target.State = "Ready"
 			s.loop.updateList(List{Targets: []Target{target}}, forkline.ListDelta)
 			for _, c := range s.loop.calls {
-				decided += len(c.attempts)
+				startedAttempts += len(c.attempts)
 			}
 		})
-		z.settle()
-		z.free()
+		occupied.awaitAttempts()
+		occupied.release()
 		eventually(t, "the end of the request", func() (none bool) {
 			s.loop.postAndWait(func() { none = len(s.loop.calls) == 0 })
 			return none
 		})
 	}
-	forgets(t, s, came)
+	expectNothingKept(t, s, received)
 }
 
 // The client leaves while a connection for its request comes up late.
-func TestLeavingWhileDialling(t *testing.T) {
-	ln, filler := crowded(t)
-	s, arrive := watched(t, patient(t, ln.Addr().String()), func(s *Sidecar) { s.loop.upstream.firstByteTimeout = 0 }) // else it is late
-	c := arrive("left")
+func TestDisconnectWhileDialing(t *testing.T) {
+	ln, filler := listenWithFullBacklog(t)
+	s, connect := startTracked(t, patient(t, ln.Addr().String()), func(s *Sidecar) { s.loop.upstream.firstByteTimeout = 0 }) // else it is late
+	c := connect("left")
 	c.send("GET", "read", "")
-	taken(t, s, func(c *call) bool { return c.openAttempts == 1 })
-	z := seize(s)
-	c.leaves(t, closes)
+	awaitCall(t, s, func(c *call) bool { return c.openAttempts == 1 })
+	occupied := occupyLoop(s)
+	c.disconnect(t, closeConn)
 	filler.Close()
-	came := make(chan string, 10)
+	received := make(chan string, 10)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -256,20 +256,20 @@
 					if err != nil {
 						return
 					}
-					came <- req.Header.Get("X-Request-Id")
+					received <- req.Header.Get("X-Request-Id")
 					echo(0, conn, req)
 				}
 			}()
 		}
 	}()
-	z.settle()
-	z.free()
-	forgets(t, s, came)
+	occupied.awaitAttempts()
+	occupied.release()
+	expectNothingKept(t, s, received)
 }
 
 // The client of a request that must not run twice leaves while all but its last byte is out.
-func TestLeavingAheadOfTheLastByte(t *testing.T) {
-	ln, began, goOn, came := listen(t), make(chan struct{}, 10), make(chan struct{}), make(chan string, 10)
+func TestDisconnectBeforeLastByte(t *testing.T) {
+	ln, started, resume, received := listen(t), make(chan struct{}, 10), make(chan struct{}), make(chan string, 10)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -282,168 +282,168 @@
 				if _, err := r.Peek(1); err != nil {
 					return
 				}
-				began <- struct{}{}
-				<-goOn
+				started <- struct{}{}
+				<-resume
 				io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n") // ends the look for a break
 				req, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
-				came <- req.Header.Get("X-Request-Id")
+				received <- req.Header.Get("X-Request-Id")
 				echo(0, conn, req)
 			}()
 		}
 	}()
 	cfg := patient(t, ln.Addr().String())
 	cfg.Site.Settings.Classes[1].TargetLatency, cfg.Site.Settings.Classes[1].Timeout = 100000, 100000
-	s, arrive := watched(t, cfg, func(s *Sidecar) { s.loop.upstream.breakCheckTime = time.Hour })
-	c := arrive("left")
+	s, connect := startTracked(t, cfg, func(s *Sidecar) { s.loop.upstream.breakCheckTime = time.Hour })
+	c := connect("left")
 	c.send("POST", "pay", "")
-	<-began
-	z := seize(s)
-	c.leaves(t, closes)
-	close(goOn)
-	z.settle()
-	z.free()
-	forgets(t, s, came)
+	<-started
+	occupied := occupyLoop(s)
+	c.disconnect(t, closeConn)
+	close(resume)
+	occupied.awaitAttempts()
+	occupied.release()
+	expectNothingKept(t, s, received)
 }
 
 // The client leaves between two attempts: what the first one ended with is in the loop's mail.
-func TestLeavingBetweenAttempts(t *testing.T) {
-	for way, leave := range leavings {
-		t.Run(way, func(t *testing.T) {
-			came, end := make(chan string, 10), make(chan struct{})
-			full := func(n int, c net.Conn, r *http.Request) bool {
-				if came <- r.Header.Get("X-Request-Id"); r.Header.Get("X-Request-Id") == "mark" {
+func TestDisconnectBetweenAttempts(t *testing.T) {
+	for mode, how := range disconnectModes {
+		t.Run(mode, func(t *testing.T) {
+			received, reject := make(chan string, 10), make(chan struct{})
+			respond := func(n int, c net.Conn, r *http.Request) bool {
+				if received <- r.Header.Get("X-Request-Id"); r.Header.Get("X-Request-Id") == "mark" {
 					return echo(n, c, r)
 				}
-				<-end
+				<-reject
 				io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				return true
 			}
-			s, arrive := watched(t, patient(t, script(t, full).Addr().String(), script(t, full).Addr().String()), nil)
-			c := arrive("left")
+			s, connect := startTracked(t, patient(t, script(t, respond).Addr().String(), script(t, respond).Addr().String()), nil)
+			c := connect("left")
 			c.send("GET", "read", "")
-			<-came
-			first := seize(s)
-			close(end)
-			first.settle()
-			mailed(t, s)
-			second := seize(s) // ahead of the news
-			c.leaves(t, leave)
-			first.free()
-			second.settle()
-			second.free()
-			forgets(t, s, came)
+			<-received
+			occupied := occupyLoop(s)
+			close(reject)
+			occupied.awaitAttempts()
+			awaitQueuedEvent(t, s)
+			reoccupied := occupyLoop(s) // ahead of the news
+			c.disconnect(t, how)
+			occupied.release()
+			reoccupied.awaitAttempts()
+			reoccupied.release()
+			expectNothingKept(t, s, received)
 		})
 	}
 }
 
 // The client leaves while its request waits for the end of an earlier copy of it, just as that comes.
-func TestLeavingAsTheCopyBeforeEnds(t *testing.T) {
-	came, hold := make(chan string, 10), make(chan struct{})
-	s, arrive := watched(t, patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
-		if came <- r.Header.Get("X-Request-Id"); n == 0 {
-			<-hold // until the first attempt is called off
+func TestDisconnectOfRetryAsOriginalEnds(t *testing.T) {
+	received, release := make(chan string, 10), make(chan struct{})
+	s, connect := startTracked(t, patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+		if received <- r.Header.Get("X-Request-Id"); n == 0 {
+			<-release // until the first attempt is called off
 		}
 		return echo(n, c, r)
 	}).Addr().String()), nil)
-	defer close(hold)
-	old, again := copies(t, s, arrive, func() bool { return len(came) == 1 })
-	first := seize(s)
-	second := seize(s) // ahead of the news
-	again.leaves(t, closes)
-	first.do(func() { old.openAttempts--; s.loop.release(old) })
-	first.free()
-	second.settle()
-	second.free()
-	<-came // the first copy
-	forgets(t, s, came)
+	defer close(release)
+	original, retry := startRetry(t, s, connect, func() bool { return len(received) == 1 })
+	occupied := occupyLoop(s)
+	reoccupied := occupyLoop(s) // ahead of the news
+	retry.disconnect(t, closeConn)
+	occupied.do(func() { original.openAttempts--; s.loop.release(original) })
+	occupied.release()
+	reoccupied.awaitAttempts()
+	reoccupied.release()
+	<-received // the first copy
+	expectNothingKept(t, s, received)
 }
 
 // copies has a client leave while its request is out, and another one ask for the same. What ends the attempt of the
 // first one is held back until the test lowers old.open.
-func copies(t *testing.T, s *Sidecar, arrive func(string) leaver, out func() bool) (old *call, again leaver) {
+func startRetry(t *testing.T, s *Sidecar, connect func(string) trackedClient, sent func() bool) (original *call, retry trackedClient) {
 	t.Helper()
-	first := arrive("copy")
-	again = arrive("copy")
+	first := connect("copy")
+	retry = connect("copy")
 	first.send("GET", "read", "")
-	eventually(t, "the first attempt", out)
-	s.loop.postAndWait(func() { old = s.loop.callsByID["copy"]; old.openAttempts++ })
-	first.leaves(t, closes)
-	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = old.ended }); return ended })
-	again.send("GET", "read", "")
-	eventually(t, "the second copy", func() (waits bool) { s.loop.postAndWait(func() { waits = old.retry != nil }); return waits })
-	return old, again
+	eventually(t, "the first attempt", sent)
+	s.loop.postAndWait(func() { original = s.loop.callsByID["copy"]; original.openAttempts++ })
+	first.disconnect(t, closeConn)
+	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = original.ended }); return ended })
+	retry.send("GET", "read", "")
+	eventually(t, "the second copy", func() (waiting bool) { s.loop.postAndWait(func() { waiting = original.retry != nil }); return waiting })
+	return original, retry
 }
 
 // A client that leaves while its request waits for an earlier copy makes room for a third one: none of them is open.
-func TestAThirdCopyIsServed(t *testing.T) {
-	came, hold := make(chan string, 10), make(chan struct{})
-	s, arrive := watched(t, patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
-		if came <- r.Header.Get("X-Request-Id"); n == 0 {
-			<-hold // until the first attempt is called off
+func TestSecondRetryIsServed(t *testing.T) {
+	received, release := make(chan string, 10), make(chan struct{})
+	s, connect := startTracked(t, patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+		if received <- r.Header.Get("X-Request-Id"); n == 0 {
+			<-release // until the first attempt is called off
 		}
 		return echo(n, c, r)
 	}).Addr().String()), nil)
-	defer close(hold)
-	old, second := copies(t, s, arrive, func() bool { return len(came) == 1 })
-	var waits *call
-	s.loop.postAndWait(func() { waits = old.retry })
-	second.leaves(t, closes)
-	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = waits.ended }); return ended })
-	third := arrive("copy")
-	third.send("GET", "read", "")
+	defer close(release)
+	original, retry := startRetry(t, s, connect, func() bool { return len(received) == 1 })
+	var retryCall *call
+	s.loop.postAndWait(func() { retryCall = original.retry })
+	retry.disconnect(t, closeConn)
+	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = retryCall.ended }); return ended })
+	secondRetry := connect("copy")
+	secondRetry.send("GET", "read", "")
 	answered := make(chan int, 1)
 	go func() {
-		if res, err := http.ReadResponse(third.reader, nil); err == nil {
+		if res, err := http.ReadResponse(secondRetry.reader, nil); err == nil {
 			answered <- res.StatusCode
 		}
 		close(answered)
 	}()
-	eventually(t, "the third copy", func() (taken bool) {
-		s.loop.postAndWait(func() { taken = old.retry != waits || len(answered) > 0 })
-		return taken
+	eventually(t, "the third copy", func() (accepted bool) {
+		s.loop.postAndWait(func() { accepted = original.retry != retryCall || len(answered) > 0 })
+		return accepted
 	})
-	s.loop.post(func() { old.openAttempts--; s.loop.release(old) })
-	if status := <-answered; status != 200 || len(came) != 2 {
-		t.Errorf("status %d after %d sends", status, len(came))
+	s.loop.post(func() { original.openAttempts--; s.loop.release(original) })
+	if status := <-answered; status != 200 || len(received) != 2 {
+		t.Errorf("status %d after %d sends", status, len(received))
 	}
 }
 
 // writes is a connection that notes what is written to it, and how often.
-type writes struct {
+type writeRecorder struct {
 	net.Conn
-	text  bytes.Buffer
-	wrote func()
+	buf     bytes.Buffer
+	onWrite func()
 }
 
-func (c *writes) Write(b []byte) (int, error) {
-	defer c.wrote()
-	return c.text.Write(b)
+func (c *writeRecorder) Write(b []byte) (int, error) {
+	defer c.onWrite()
+	return c.buf.Write(b)
 }
 
 // A request that is too long to be written at once goes without its last byte if its client leaves meanwhile, and one
 // whose client has left before is not begun and leaves its connection as it was. Neither can have run.
-func TestLeavingUnderALongWrite(t *testing.T) {
-	for name, leftAfter := range map[string]int{"before it is begun": 0, "ahead of its last byte": 1} {
-		far, near := net.Pipe()
-		defer far.Close()
-		defer near.Close()
+func TestDisconnectDuringLongWrite(t *testing.T) {
+	for name, disconnectAfter := range map[string]int{"before it is begun": 0, "ahead of its last byte": 1} {
+		remote, local := net.Pipe()
+		defer remote.Close()
+		defer local.Close()
 		written := 0
-		w := &writes{Conn: near, wrote: func() { written++ }}
+		w := &writeRecorder{Conn: local, onWrite: func() { written++ }}
 		a := newAttempt(time.Time{})
-		a.clientDisconnected = func() bool { return written >= leftAfter }
-		out := get()
-		out.body = bytes.Repeat([]byte("x"), maxBodyBytes)
-		got, answer, keep := exchange(a, &conn{Conn: w, reader: bufio.NewReader(w)}, out, time.Now().Add(long), 0)
-		if got != forkline.NotSent || answer != nil || keep != (leftAfter == 0) || written != leftAfter {
-			t.Errorf("%s: outcome %v, keep %v after %d writes", name, got, keep, written)
+		a.clientDisconnected = func() bool { return written >= disconnectAfter }
+		outgoing := get()
+		outgoing.body = bytes.Repeat([]byte("x"), maxBodyBytes)
+		got, resp, reusable := exchange(a, &conn{Conn: w, reader: bufio.NewReader(w)}, outgoing, time.Now().Add(long), 0)
+		if got != forkline.NotSent || resp != nil || reusable != (disconnectAfter == 0) || written != disconnectAfter {
+			t.Errorf("%s: outcome %v, keep %v after %d writes", name, got, reusable, written)
 		}
-		if _, err := http.ReadRequest(bufio.NewReader(&w.text)); leftAfter > 0 && err != nil {
+		if _, err := http.ReadRequest(bufio.NewReader(&w.buf)); disconnectAfter > 0 && err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
-		if n := w.text.Len(); leftAfter > 0 && n >= maxBodyBytes {
+		if n := w.buf.Len(); disconnectAfter > 0 && n >= maxBodyBytes {
 			t.Errorf("%s: all of the body is out", name)
 		}
 	}
@@ -451,30 +451,30 @@
 
 // A request takes the id of one whose client has left and one that waits for it may have left as well, before the
 // loop has heard of either.
-func TestTheIDOfOneThatLeftIsFree(t *testing.T) {
+func TestIDOfDisconnectedRequestIsReusable(t *testing.T) {
 	cfg := patient(t, "127.0.0.1:1")
 	cfg.InitialList.Targets[0].State = "Terminating"
 	s := start(t, cfg)
 	statuses := make(chan int, 10)
-	request := func() (*call, *bool) {
-		left := false
+	newCall := func() (*call, *bool) {
+		disconnected := false
 		return &call{
-			id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, clientGone: func() bool { return left },
+			id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, clientGone: func() bool { return disconnected },
 			respond: func(a response) { statuses <- a.status },
-		}, &left
+		}, &disconnected
 	}
 	s.loop.postAndWait(func() {
-		first, firstLeft := request()
-		second, secondLeft := request()
-		third, _ := request()
+		first, firstGone := newCall()
+		second, secondGone := newCall()
+		third, _ := newCall()
 		s.loop.accept(first)
-		*firstLeft = true
+		*firstGone = true
 		first.openAttempts++ // an attempt is out
 		s.loop.accept(second)
 		if !first.ended || first.retry != second {
 			t.Error("the second does not wait for the end of the first")
 		}
-		*secondLeft = true
+		*secondGone = true
 		s.loop.accept(third)
 		if !second.ended || first.retry != third {
 			t.Error("the third does not wait for the end of the first")
@@ -495,43 +495,43 @@
 
 // A request that has come in time, but that nobody had the core to look at before its connection had been quiet for too
 // long, is not closed upon.
-func TestARequestAtTheEndOfTheQuietTime(t *testing.T) {
-	at, on := make(chan struct{}, 1), make(chan struct{})
-	s := undrained(t, echo, func(s *Sidecar) {
+func TestRequestAtRequestTimeoutIsServed(t *testing.T) {
+	reading, resume := make(chan struct{}, 1), make(chan struct{})
+	s := startWithoutDrain(t, echo, func(s *Sidecar) {
 		s.front.requestTimeout = time.Nanosecond
-		hooked(func(c *net.TCPConn) net.Conn { return lateReader{c, false, at, on} })(s)
+		withConnWrapper(func(c *net.TCPConn) net.Conn { return delayedReadConn{c, false, reading, resume} })(s)
 	})
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	<-at
+	<-reading
 	eventually(t, "the request", func() bool {
 		s.front.downstream.mu.Lock()
 		defer s.front.downstream.mu.Unlock()
 		e := s.front.downstream.idle.Front()
 		return e != nil && e.Value.(*downstreamConn).hasUnread()
 	})
-	close(on)
+	close(resume)
 	if res, _ := c.answer(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
 
 // Bad clients are owed an error or a close within 3 s of connecting, whatever they send or leave out.
-func TestBadClientsEndInTime(t *testing.T) {
-	const owed, turn = 3 * time.Second, 250 * time.Millisecond
-	if end := defaultRequestTimeout + lingerTimeout + turn; end > owed {
-		t.Errorf("a connection may stay for %v", end)
+func TestBadClientsAreClosedInTime(t *testing.T) {
+	const limit, schedulingDelay = 3 * time.Second, 250 * time.Millisecond
+	if longest := defaultRequestTimeout + lingerTimeout + schedulingDelay; longest > limit {
+		t.Errorf("a connection may stay for %v", longest)
 	}
 }
 
 // An idle connection that an attempt took but did not use is not kept as if just used: its endpoint may drop it any
 // time, as it has not heard of it for longer than it looks.
-func TestAnUnusedConnectionDoesNotLookFresh(t *testing.T) {
+func TestUnusedIdleConnectionIsNotKept(t *testing.T) {
 	for name, change := range map[string]func(*attempt){
 		"client left": func(a *attempt) { a.clientDisconnected = func() bool { return true } },
 		"late":        func(a *attempt) { a.firstByteBy = time.Now().Add(-time.Second) },
 	} {
-		addr, came := noting(t)
+		addr, received := recordingServer(t)
 		u := pool(addr, 4)
 		if got, _ := attemptOn(u, long); got != forkline.OK {
 			t.Fatalf("outcome %v", got)
@@ -540,33 +540,35 @@
 		a := newAttempt(time.Time{})
 		change(a)
 		u.do(a, u.find(1), get(), time.Now().Add(long))
-		if u.openConns != 0 || len(came) != 1 {
-			t.Errorf("%s: %d connections are kept after %d requests", name, u.openConns, len(came))
+		if u.openConns != 0 || len(received) != 1 {
+			t.Errorf("%s: %d connections are kept after %d requests", name, u.openConns, len(received))
 		}
 	}
 }
 
 // slowCaller is a caller's connection on which the time to take an answer has passed whenever more is waited for.
-type slowCaller struct {
+type expiredWriteDeadlineConn struct {
 	*net.TCPConn
-	answered bool
+	responded bool
 }
 
-func (c *slowCaller) SetWriteDeadline(at time.Time) error {
-	c.answered = true
+func (c *expiredWriteDeadlineConn) SetWriteDeadline(at time.Time) error {
+	c.responded = true
 	return c.TCPConn.SetWriteDeadline(at)
 }
 
-func (c *slowCaller) SetReadDeadline(at time.Time) error {
-	if c.answered {
+func (c *expiredWriteDeadlineConn) SetReadDeadline(at time.Time) error {
+	if c.responded {
 		c.TCPConn.SetWriteDeadline(time.Unix(1, 0))
 	}
 	return c.TCPConn.SetReadDeadline(at)
 }
 
 // A caller that waits for leave to send its body gets it as well on a connection that it has used before.
-func TestExpectContinueOnAKeptConnection(t *testing.T) {
-	s := undrained(t, echo, func(s *Sidecar) { hooked(func(c *net.TCPConn) net.Conn { return &slowCaller{TCPConn: c} })(s) })
+func TestExpectContinueOnReusedConnection(t *testing.T) {
+	s := startWithoutDrain(t, echo, func(s *Sidecar) {
+		withConnWrapper(func(c *net.TCPConn) net.Conn { return &expiredWriteDeadlineConn{TCPConn: c} })(s)
+	})
 	c := dial(t, s)
 	for i := range 3 {
 		fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: %d\r\n"+
@@ -584,7 +586,7 @@
 }
 
 // An answer that is reset on its way is no answer, whatever has come of it and however its end would be told.
-func TestAResetIsNoEndOfAnAnswer(t *testing.T) {
+func TestResetIsNotEndOfResponse(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing yet": "", "no length": "HTTP/1.1 200 OK\r\n\r\nhi", "in the head": "HTTP/1.1 200 OK\r\nCont",
 		"in the body":    "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi",
--- a/internal/sidecar/race_test.go
+++ b/internal/sidecar/race_test.go
@@ -22,9 +22,9 @@
 // Tests of narrow moments: each forces a crossing that else comes once in many thousand requests.
 
 // eventually waits until what is asked for holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !holds(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(long); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not seen: " + what)
 		}
@@ -32,7 +32,7 @@
 }
 
 // A list that comes while the loop's mail is full, and a SIGHUP in that mail: neither may wait for the other.
-func TestMoveWithTheMailFull(t *testing.T) {
+func TestSetDiscoveryAddrWithFullQueue(t *testing.T) {
 	cfg := config(t)
 	cfg.Discovery = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n{\"rev\":8}\n")
@@ -51,19 +51,19 @@
 	}
 	go s.loop.post(func() {}) // waits ahead of the list, for the first room there is
 	eventually(t, "a post that waits", func() bool {
-		all := make([]byte, 1<<20)
-		all = all[:runtime.Stack(all, true)]
-		return regexp.MustCompile(`\[select.*\]:\n.*\(\*loop\)\.post\(`).Match(all)
+		stacks := make([]byte, 1<<20)
+		stacks = stacks[:runtime.Stack(stacks, true)]
+		return regexp.MustCompile(`\[select.*\]:\n.*\(\*loop\)\.post\(`).Match(stacks)
 	})
-	telling, tell := make(chan struct{}), s.discovery.onList
-	s.discovery.onList = func(l List) { close(telling); tell(l) }
+	delivering, onList := make(chan struct{}), s.discovery.onList
+	s.discovery.onList = func(l List) { close(delivering); onList(l) }
 	go s.discovery.poll(t.Context())
-	<-telling
+	<-delivering
 	go s.loop.run()
-	asked := make(chan struct{})
-	go func() { s.loop.postAndWait(func() {}); close(asked) }()
+	ran := make(chan struct{})
+	go func() { s.loop.postAndWait(func() {}); close(ran) }()
 	select {
-	case <-asked:
+	case <-ran:
 	case <-time.After(long):
 		t.Fatal("the loop stands still")
 	}
@@ -71,21 +71,21 @@
 
 // Discovery moves away and back at once, as two SIGHUPs may have it: one follow is left. Two would take the watch
 // from each other for as long as the program runs.
-func TestMoveAwayAndBack(t *testing.T) {
+func TestDiscoveryAddrChangedAndRestored(t *testing.T) {
 	calls, ended, done := make(chan int, 100), make(chan int, 100), make(chan struct{})
 	defer close(done)
-	here := script(t, func(n int, c net.Conn, _ *http.Request) bool {
+	addr := script(t, func(n int, c net.Conn, _ *http.Request) bool {
 		calls <- n
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n\n")
 		c.Read(make([]byte, 1))
 		ended <- n
 		return false
 	}).Addr().String()
-	d := &discovery{policy: unhurried(long), addr: here, onList: func(List) {}, onFailed: func() {}}
-	first := make(chan struct{})
-	go func() { d.follow(t.Context()); close(first) }()
+	d := &discovery{policy: unhurried(long), addr: addr, onList: func(List) {}, onFailed: func() {}}
+	firstReturned := make(chan struct{})
+	go func() { d.follow(t.Context()); close(firstReturned) }()
 	<-calls
-	if !d.move(listen(t).Addr().String()) || !d.move(here) {
+	if !d.move(listen(t).Addr().String()) || !d.move(addr) {
 		t.Fatal("no move")
 	}
 	go d.follow(t.Context())
@@ -96,7 +96,7 @@
 		t.Fatalf("watch %d ended, want the first", n)
 	}
 	select {
-	case <-first:
+	case <-firstReturned:
 	case n := <-calls:
 		t.Fatalf("watch %d was begun beside the one that lives", n)
 	case <-time.After(long):
@@ -106,27 +106,27 @@
 
 // heldDeadline is a caller's connection on which a read deadline in the past is held back until the answer is written
 // and the next one is set; where that is not to come, for a moment.
-type heldDeadline struct {
+type delayedDeadlineConn struct {
 	net.Conn
-	written, next chan struct{}
+	wrote, nextDeadline chan struct{}
 }
 
-func (c *heldDeadline) Write(b []byte) (int, error) {
+func (c *delayedDeadlineConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	signal(c.written)
+	signal(c.wrote)
 	return n, err
 }
 
-func (c *heldDeadline) SetReadDeadline(at time.Time) error {
+func (c *delayedDeadlineConn) SetReadDeadline(at time.Time) error {
 	if at.Equal(time.Unix(1, 0)) {
-		for _, before := range []chan struct{}{c.written, c.next} {
+		for _, event := range []chan struct{}{c.wrote, c.nextDeadline} {
 			select {
-			case <-before:
+			case <-event:
 			case <-time.After(20 * time.Millisecond): // sound code is only held up by it
 			}
 		}
 	} else if !at.IsZero() {
-		signal(c.next)
+		signal(c.nextDeadline)
 	}
 	return c.Conn.SetReadDeadline(at)
 }
@@ -140,16 +140,16 @@
 }
 
 // hooked has the sidecar serve its callers through connections made by wrap.
-func hooked(wrap func(*net.TCPConn) net.Conn) func(*Sidecar) {
-	return func(s *Sidecar) { s.listener = hookedListener{s.listener, wrap} }
+func withConnWrapper(wrap func(*net.TCPConn) net.Conn) func(*Sidecar) {
+	return func(s *Sidecar) { s.listener = wrappingListener{s.listener, wrap} }
 }
 
-type hookedListener struct {
+type wrappingListener struct {
 	net.Listener
 	wrap func(*net.TCPConn) net.Conn
 }
 
-func (l hookedListener) Accept() (net.Conn, error) {
+func (l wrappingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -159,9 +159,9 @@
 
 // The read deadline that wakes a caller's goroutine for an answer must not strike the next request on the connection,
 // which may have come behind the first.
-func TestAnAnswerDoesNotEndTheNextRequest(t *testing.T) {
-	s, came := serving(t, hooked(func(c *net.TCPConn) net.Conn {
-		return &heldDeadline{c, make(chan struct{}, 1), make(chan struct{}, 1)}
+func TestResponseWakeupDoesNotAbortNextRequest(t *testing.T) {
+	s, received := serving(t, withConnWrapper(func(c *net.TCPConn) net.Conn {
+		return &delayedDeadlineConn{c, make(chan struct{}, 1), make(chan struct{}, 1)}
 	}))
 	c := dial(t, s)
 	for _, id := range []string{"first", "second"} {
@@ -170,39 +170,39 @@
 	}
 	for range 2 {
 		if res, _ := c.answer(t); res.StatusCode != 200 {
-			t.Errorf("status %d after %s", res.StatusCode, <-came)
+			t.Errorf("status %d after %s", res.StatusCode, <-received)
 		}
 	}
 }
 
 // A client leaves while its request waits: nothing of it is kept, so that nothing can go out when the wait is over.
 // What it had sent behind the request hides its leaving from whoever looks at the next byte only.
-func TestLeavingWhileWaitingIsSeen(t *testing.T) {
-	next := "GET /read/x HTTP/1.1\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: next\r\n\r\n"
-	much := "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: next\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000)
-	ways := map[string]func(*net.TCPConn){
+func TestDisconnectOfWaitingRequestIsDetected(t *testing.T) {
+	pipelined := "GET /read/x HTTP/1.1\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: next\r\n\r\n"
+	largePipelined := "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: next\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000)
+	modes := map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		"ended":  func(c *net.TCPConn) { c.CloseWrite() },
 	}
-	for state, prepare := range map[string]func(*testing.T) *waiting{
-		"queued": queued, "dialling": dialling, "between attempts": betweenAttempts,
+	for state, prepare := range map[string]func(*testing.T) *waitScenario{
+		"queued": queuedScenario, "dialling": dialingScenario, "between attempts": betweenAttemptsScenario,
 	} {
-		for way, leave := range ways {
-			for behind, text := range map[string]string{"nothing": "", "a request": next, "more than is read": much} {
-				t.Run(state+"/"+way+"/"+behind, func(t *testing.T) {
-					w := prepare(t)
-					c := dial(t, w.s)
+		for mode, disconnect := range modes {
+			for pipelinedName, text := range map[string]string{"nothing": "", "a request": pipelined, "more than is read": largePipelined} {
+				t.Run(state+"/"+mode+"/"+pipelinedName, func(t *testing.T) {
+					scenario := prepare(t)
+					c := dial(t, scenario.s)
 					c.id = "left"
 					c.send("GET", "read", "")
-					w.waits()
+					scenario.awaitWaiting()
 					io.WriteString(c, text)
-					leave(c.Conn.(*net.TCPConn))
+					disconnect(c.Conn.(*net.TCPConn))
 					eventually(t, "the end of the request", func() (none bool) {
-						w.s.loop.postAndWait(func() { none = len(w.s.loop.calls) == 0 })
+						scenario.s.loop.postAndWait(func() { none = len(scenario.s.loop.calls) == 0 })
 						return none
 					})
-					w.goOn(t)
+					scenario.resume(t)
 				})
 			}
 		}
@@ -210,10 +210,10 @@
 }
 
 // waiting is a sidecar on which a request waits, and what ends that.
-type waiting struct {
-	s     *Sidecar
-	waits func()           // until the request waits
-	goOn  func(*testing.T) // lets a further request out, and sees that nothing else went
+type waitScenario struct {
+	s            *Sidecar
+	awaitWaiting func()           // until the request waits
+	resume       func(*testing.T) // lets a further request out, and sees that nothing else went
 }
 
 // patient is the configuration of a sidecar whose read requests wait for longer than a test takes.
@@ -226,74 +226,74 @@
 }
 
 // told has the sidecar's only endpoint listed in another state, with all that follows done.
-func told(s *Sidecar, cfg *Config, state string) {
+func setServerState(s *Sidecar, cfg *Config, state string) {
 	target := cfg.InitialList.Targets[0]
 	target.State = state
 	s.loop.postAndWait(func() { s.loop.updateList(List{Targets: []Target{target}}, forkline.ListDelta) })
 }
 
 // taken waits until the sidecar holds a request for which holds is true.
-func taken(t *testing.T, s *Sidecar, holds func(*call) bool) {
+func awaitCall(t *testing.T, s *Sidecar, matches func(*call) bool) {
 	t.Helper()
-	eventually(t, "the request that waits", func() (seen bool) {
+	eventually(t, "the request that waits", func() (found bool) {
 		s.loop.postAndWait(func() {
 			for _, c := range s.loop.calls {
-				seen = seen || holds(c)
+				found = found || matches(c)
 			}
 		})
-		return seen
+		return found
 	})
 }
 
 // marks sends a further request and sees that it is the next one at the endpoint.
-func marks(t *testing.T, s *Sidecar, came <-chan string) {
+func expectOnlyMarker(t *testing.T, s *Sidecar, received <-chan string) {
 	t.Helper()
 	c := dial(t, s)
 	c.id = "mark"
 	c.send("GET", "read", "")
-	if id := <-came; id != "mark" {
+	if id := <-received; id != "mark" {
 		t.Errorf("request %q was sent on though its client had left", id)
 	}
 }
 
-func queued(t *testing.T) *waiting {
-	came := make(chan string, 10)
+func queuedScenario(t *testing.T) *waitScenario {
+	received := make(chan string, 10)
 	cfg := patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
-		came <- r.Header.Get("X-Request-Id")
+		received <- r.Header.Get("X-Request-Id")
 		return echo(n, c, r)
 	}).Addr().String())
 	cfg.InitialList.Targets[0].State = "Terminating"
 	s := start(t, cfg)
-	return &waiting{s, func() {
-		taken(t, s, func(c *call) bool { return len(c.attempts) == 0 })
-	}, func(t *testing.T) { told(s, &cfg, "Ready"); marks(t, s, came) }}
+	return &waitScenario{s, func() {
+		awaitCall(t, s, func(c *call) bool { return len(c.attempts) == 0 })
+	}, func(t *testing.T) { setServerState(s, &cfg, "Ready"); expectOnlyMarker(t, s, received) }}
 }
 
-func betweenAttempts(t *testing.T) *waiting {
+func betweenAttemptsScenario(t *testing.T) *waitScenario {
 	var s *Sidecar
 	var cfg Config
-	came := make(chan string, 10)
+	received := make(chan string, 10)
 	cfg = patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
-		came <- r.Header.Get("X-Request-Id")
-		if len(came) == 1 && n == 0 {
-			told(s, &cfg, "Terminating")
+		received <- r.Header.Get("X-Request-Id")
+		if len(received) == 1 && n == 0 {
+			setServerState(s, &cfg, "Terminating")
 			io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 			return true
 		}
 		return echo(n, c, r)
 	}).Addr().String())
 	s = start(t, cfg)
-	return &waiting{s, func() {
-		taken(t, s, func(c *call) bool { return len(c.attempts) == 1 && c.openAttempts == 0 })
+	return &waitScenario{s, func() {
+		awaitCall(t, s, func(c *call) bool { return len(c.attempts) == 1 && c.openAttempts == 0 })
 	}, func(t *testing.T) {
-		<-came // the first attempt
-		told(s, &cfg, "Ready")
-		marks(t, s, came)
+		<-received // the first attempt
+		setServerState(s, &cfg, "Ready")
+		expectOnlyMarker(t, s, received)
 	}}
 }
 
 // crowded is a listener whose backlog is full, so that connections to it do not come up until the filler is closed.
-func crowded(t *testing.T) (ln net.Listener, filler net.Conn) {
+func listenWithFullBacklog(t *testing.T) (ln net.Listener, filler net.Conn) {
 	t.Helper()
 	ln = listen(t)
 	raw, err := ln.(*net.TCPListener).SyscallConn()
@@ -313,11 +313,11 @@
 }
 
 // dialling has an endpoint whose backlog is full, so that a connection to it does not come up.
-func dialling(t *testing.T) *waiting {
-	ln, _ := crowded(t)
+func dialingScenario(t *testing.T) *waitScenario {
+	ln, _ := listenWithFullBacklog(t)
 	s := start(t, patient(t, ln.Addr().String()))
-	return &waiting{s, func() {
-		taken(t, s, func(c *call) bool { return c.openAttempts == 1 })
+	return &waitScenario{s, func() {
+		awaitCall(t, s, func(c *call) bool { return c.openAttempts == 1 })
 	}, func(t *testing.T) {
 		s.loop.upstream.mu.Lock()
 		defer s.loop.upstream.mu.Unlock()
@@ -329,19 +329,19 @@
 
 // A second request with an id that is open is turned away just when its client leaves. That must not free the id: a
 // third one would be sent on beside the first.
-func TestLeavingDoesNotFreeAnID(t *testing.T) {
+func TestDisconnectOfRejectedDuplicateKeepsID(t *testing.T) {
 	cfg := patient(t, "127.0.0.1:1")
 	cfg.InitialList.Targets[0].State = "Terminating"
 	s := start(t, cfg)
 	statuses := make(chan int, 3)
-	request := func() *call {
+	newCall := func() *call {
 		return &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, respond: func(a response) { statuses <- a.status }}
 	}
-	second := request()
-	s.loop.postAndWait(func() { s.loop.accept(request()) })
+	second := newCall()
+	s.loop.postAndWait(func() { s.loop.accept(newCall()) })
 	s.loop.postAndWait(func() { s.loop.accept(second) })
 	s.loop.postAndWait(func() { s.loop.handleDisconnect(second) }) // its answer and its client cross
-	s.loop.postAndWait(func() { s.loop.accept(request()) })
+	s.loop.postAndWait(func() { s.loop.accept(newCall()) })
 	if len(statuses) != 2 || <-statuses != http.StatusConflict || <-statuses != http.StatusConflict {
 		t.Fatal("a request was taken beside one of its id")
 	}
@@ -351,17 +351,17 @@
 }
 
 // All is given up while a request waits for the end of its left copy: it is answered too.
-func TestGivingUpReachesARequestThatCameAgain(t *testing.T) {
-	s := undrained(t, echo, nil)
+func TestAbortAllAnswersWaitingRetry(t *testing.T) {
+	s := startWithoutDrain(t, echo, nil)
 	statuses := make(chan int, 2)
-	request := func() *call {
+	newCall := func() *call {
 		return &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, respond: func(a response) { statuses <- a.status }}
 	}
-	old := request()
+	original := newCall()
 	s.loop.postAndWait(func() {
-		old.ended, old.openAttempts = true, 1
-		s.loop.callsByID["id"], s.loop.calls[9] = old, old
-		s.loop.accept(request())
+		original.ended, original.openAttempts = true, 1
+		s.loop.callsByID["id"], s.loop.calls[9] = original, original
+		s.loop.accept(newCall())
 		s.loop.abortAll()
 	})
 	if len(statuses) != 1 || <-statuses != statusFailed {
@@ -372,54 +372,54 @@
 // A client leaves and asks once more under the same id, on another connection, while the attempt for it is being
 // called off. It is served if that is safe or nothing can have run, and fails otherwise: it must not run twice, and
 // it is not another request's id that it uses.
-func TestTheSameRequestOnceMore(t *testing.T) {
+func TestClientRetryWhileAttemptIsCanceled(t *testing.T) {
 	for _, c := range []struct {
-		method, class string
-		want, sends   int
+		method, class         string
+		wantStatus, wantSends int
 	}{{"GET", "read", 200, 2}, {"POST", "pay", statusFailed, 1}} {
-		came, hold := make(chan struct{}, 10), make(chan struct{})
+		received, release := make(chan struct{}, 10), make(chan struct{})
 		s := start(t, config(t, script(t, func(n int, conn net.Conn, r *http.Request) bool {
-			if came <- struct{}{}; len(came) == 1 {
-				<-hold
+			if received <- struct{}{}; len(received) == 1 {
+				<-release
 			}
 			return echo(n, conn, r)
 		}).Addr().String()))
 		first, second := dial(t, s), dial(t, s)
 		first.send(c.method, c.class, "")
-		eventually(t, "the first attempt", func() bool { return len(came) == 1 })
+		eventually(t, "the first attempt", func() bool { return len(received) == 1 })
 		// What ends the attempt is held back until the second request has come.
-		var old *call
-		s.loop.postAndWait(func() { old = s.loop.callsByID["id"]; old.openAttempts++ })
+		var original *call
+		s.loop.postAndWait(func() { original = s.loop.callsByID["id"]; original.openAttempts++ })
 		first.Close()
-		eventually(t, "the client's leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = old.ended }); return ended })
+		eventually(t, "the client's leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = original.ended }); return ended })
 		second.send(c.method, c.class, "")
 		eventually(t, "the second request", func() (waits bool) {
-			s.loop.postAndWait(func() { waits = old.retry != nil })
+			s.loop.postAndWait(func() { waits = original.retry != nil })
 			return waits
 		})
-		s.loop.post(func() { old.openAttempts--; s.loop.release(old) })
-		if res, _ := second.answer(t); res.StatusCode != c.want || len(came) != c.sends {
-			t.Errorf("%s: status %d after %d sends, want %d after %d", c.class, res.StatusCode, len(came), c.want, c.sends)
+		s.loop.post(func() { original.openAttempts--; s.loop.release(original) })
+		if res, _ := second.answer(t); res.StatusCode != c.wantStatus || len(received) != c.wantSends {
+			t.Errorf("%s: status %d after %d sends, want %d after %d", c.class, res.StatusCode, len(received), c.wantStatus, c.wantSends)
 		}
-		close(hold)
-		for left := 1; left > 0; {
-			s.loop.postAndWait(func() { left = len(s.loop.calls) + len(s.loop.callsByID) + len(s.loop.timerQueue) })
+		close(release)
+		for remaining := 1; remaining > 0; {
+			s.loop.postAndWait(func() { remaining = len(s.loop.calls) + len(s.loop.callsByID) + len(s.loop.timerQueue) })
 		}
 	}
 }
 
 // undrained runs the parts of a sidecar as Run does, for a test that drains it itself.
-func undrained(t *testing.T, f func(n int, c net.Conn, r *http.Request) bool, change func(*Sidecar)) *Sidecar {
+func startWithoutDrain(t *testing.T, respond func(n int, c net.Conn, r *http.Request) bool, configure func(*Sidecar)) *Sidecar {
 	t.Helper()
-	cfg := config(t, script(t, f).Addr().String())
+	cfg := config(t, script(t, respond).Addr().String())
 	cfg.Site.Settings.Classes[1].Timeout = 60000 // its own time does not end a wait
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.cachedListDelay = 0
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
 	go s.loop.run()
 	t.Cleanup(func() { close(s.loop.done) })
@@ -429,14 +429,14 @@
 }
 
 const (
-	firstHalf  = "GET /read/x HTTP/1.1\r\nHost: b\r\nX-Class: read\r\n"
-	secondHalf = "X-Request-Id: half\r\n\r\n"
+	requestFirstHalf  = "GET /read/x HTTP/1.1\r\nHost: b\r\nX-Class: read\r\n"
+	requestSecondHalf = "X-Request-Id: half\r\n\r\n"
 )
 
 // comesTo sends the first half of a request and waits until the sidecar has it.
-func comesTo(t *testing.T, s *Sidecar, c *client) {
+func sendFirstHalf(t *testing.T, s *Sidecar, c *client) {
 	t.Helper()
-	io.WriteString(c, firstHalf)
+	io.WriteString(c, requestFirstHalf)
 	eventually(t, "the first half", func() bool {
 		s.front.downstream.mu.Lock()
 		defer s.front.downstream.mu.Unlock()
@@ -446,14 +446,14 @@
 }
 
 // A connection that waits for room when the drain begins holds nothing up: the drain ends in its time.
-func TestDrainDoesNotWaitForRoom(t *testing.T) {
+func TestDrainDoesNotWaitForUnadmittedConnection(t *testing.T) {
 	accepted := make(chan struct{}, 2*evictionHeadroom+1)
-	s := undrained(t, echo, func(s *Sidecar) {
+	s := startWithoutDrain(t, echo, func(s *Sidecar) {
 		s.front.downstream.maxConns, s.front.downstream.slowRequestTime, s.front.requestTimeout = 2*evictionHeadroom, time.Hour, time.Hour
-		hooked(func(c *net.TCPConn) net.Conn { accepted <- struct{}{}; return c })(s)
+		withConnWrapper(func(c *net.TCPConn) net.Conn { accepted <- struct{}{}; return c })(s)
 	})
 	for range 2 * evictionHeadroom {
-		comesTo(t, s, dial(t, s))
+		sendFirstHalf(t, s, dial(t, s))
 	}
 	dial(t, s)
 	for range 2*evictionHeadroom + 1 {
@@ -470,14 +470,14 @@
 
 // A request that has begun to come when the sidecar closes quiet connections may be whole at any moment, and is taken
 // then: it is waited for and answered.
-func TestDrainWaitsForARequestThatComes(t *testing.T) {
-	s := undrained(t, echo, nil)
+func TestDrainWaitsForPartialRequest(t *testing.T) {
+	s := startWithoutDrain(t, echo, nil)
 	c := dial(t, s)
-	comesTo(t, s, c)
+	sendFirstHalf(t, s, c)
 	s.listener.Close()
 	drained := make(chan struct{})
 	go func() { s.front.downstream.drain(time.Now().Add(long)); close(drained) }()
-	io.WriteString(c, secondHalf)
+	io.WriteString(c, requestSecondHalf)
 	if res, _ := c.answer(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
@@ -486,19 +486,19 @@
 
 // lateReader is a caller's connection whose first bytes are handed over late, as on a core that is busy: before they
 // are read, or between that and whatever is done next.
-type lateReader struct {
+type delayedReadConn struct {
 	*net.TCPConn
-	late   bool
-	at, on chan struct{}
+	afterRead       bool
+	reading, resume chan struct{}
 }
 
-func (c lateReader) Read(b []byte) (n int, err error) {
-	if c.late {
+func (c delayedReadConn) Read(b []byte) (n int, err error) {
+	if c.afterRead {
 		n, err = c.TCPConn.Read(b)
 	}
-	signal(c.at)
-	<-c.on
-	if !c.late {
+	signal(c.reading)
+	<-c.resume
+	if !c.afterRead {
 		n, err = c.TCPConn.Read(b)
 	}
 	return n, err
@@ -506,8 +506,8 @@
 
 // A request that has come, but that nobody has looked at yet, is not closed upon: neither in a drain nor for another
 // caller near the limit.
-func TestUnseenRequestsAreNotClosedUpon(t *testing.T) {
-	for name, end := range map[string]func(*downstream){
+func TestUnreadRequestIsNotDropped(t *testing.T) {
+	for name, closeIdle := range map[string]func(*downstream){
 		"drain": func(cs *downstream) {
 			cs.mu.Lock()
 			defer cs.mu.Unlock()
@@ -521,49 +521,49 @@
 			cs.evict()
 		},
 	} {
-		for _, late := range []bool{false, true} {
-			quiet := time.Hour
-			if !late {
-				quiet = time.Nanosecond // its time is up as well
+		for _, afterRead := range []bool{false, true} {
+			requestTimeout := time.Hour
+			if !afterRead {
+				requestTimeout = time.Nanosecond // its time is up as well
 			}
-			at, on := make(chan struct{}, 1), make(chan struct{})
-			s := undrained(t, echo, func(s *Sidecar) {
-				s.front.requestTimeout = quiet
-				hooked(func(c *net.TCPConn) net.Conn { return lateReader{c, late, at, on} })(s)
+			reading, resume := make(chan struct{}, 1), make(chan struct{})
+			s := startWithoutDrain(t, echo, func(s *Sidecar) {
+				s.front.requestTimeout = requestTimeout
+				withConnWrapper(func(c *net.TCPConn) net.Conn { return delayedReadConn{c, afterRead, reading, resume} })(s)
 			})
 			c := dial(t, s)
 			c.send("GET", "read", "")
-			<-at
+			<-reading
 			eventually(t, "the request", func() bool {
 				s.front.downstream.mu.Lock()
 				defer s.front.downstream.mu.Unlock()
 				e := s.front.downstream.idle.Front()
-				return e != nil && (late || e.Value.(*downstreamConn).hasUnread())
+				return e != nil && (afterRead || e.Value.(*downstreamConn).hasUnread())
 			})
-			end(s.front.downstream)
-			close(on)
+			closeIdle(s.front.downstream)
+			close(resume)
 			if res, _ := c.answer(t); res.StatusCode != 200 {
-				t.Errorf("%s, late %v: status %d", name, late, res.StatusCode)
+				t.Errorf("%s, late %v: status %d", name, afterRead, res.StatusCode)
 			}
 		}
 	}
 }
 
 // Near the limit a request that has begun to come is not evicted for a new client, which waits until there is room.
-func TestComingRequestsDoNotGiveWay(t *testing.T) {
+func TestPartialRequestsAreNotEvicted(t *testing.T) {
 	accepted := make(chan struct{}, 2*evictionHeadroom+1)
 	s, _ := serving(t, func(s *Sidecar) {
 		s.front.downstream.maxConns, s.front.downstream.slowRequestTime, s.front.requestTimeout = 2*evictionHeadroom, time.Hour, time.Hour
-		hooked(func(c *net.TCPConn) net.Conn { accepted <- struct{}{}; return c })(s)
+		withConnWrapper(func(c *net.TCPConn) net.Conn { accepted <- struct{}{}; return c })(s)
 	})
 	clients := make([]*client, 2*evictionHeadroom)
 	for i := range clients {
 		clients[i] = dial(t, s)
-		comesTo(t, s, clients[i])
+		sendFirstHalf(t, s, clients[i])
 	}
-	last := dial(t, s)
-	last.id = "last"
-	last.send("GET", "read", "")
+	waiting := dial(t, s)
+	waiting.id = "last"
+	waiting.send("GET", "read", "")
 	for range 2*evictionHeadroom + 1 {
 		<-accepted
 	}
@@ -573,30 +573,30 @@
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
-	if res, _ := last.answer(t); res.StatusCode != 200 {
+	if res, _ := waiting.answer(t); res.StatusCode != 200 {
 		t.Errorf("status %d for the one that waited", res.StatusCode)
 	}
 }
 
 // closer is a caller's connection that tells when the sidecar ends it, or its side of it.
-type closer struct {
+type closeNotifyConn struct {
 	*net.TCPConn
 	closing chan struct{}
 }
 
-func (c closer) Close() error {
+func (c closeNotifyConn) Close() error {
 	defer signal(c.closing)
 	return c.TCPConn.Close()
 }
 
-func (c closer) CloseWrite() error {
+func (c closeNotifyConn) CloseWrite() error {
 	defer signal(c.closing)
 	return c.TCPConn.CloseWrite()
 }
 
 // A caller sends on behind a request that is its connection's last, and reads slowly: the close, which is a reset with
 // bytes unread, must not overtake the answer.
-func TestTheLastAnswerIsNotOvertaken(t *testing.T) {
+func TestCloseDoesNotOvertakeLastResponse(t *testing.T) {
 	closing := make(chan struct{}, 1)
 	body := strings.Repeat("x", maxBodyBytes)
 	s, err := New(config(t, script(t, func(_ int, c net.Conn, _ *http.Request) bool {
@@ -607,9 +607,9 @@
 		t.Fatal(err)
 	}
 	s.cachedListDelay = 0
-	hooked(func(c *net.TCPConn) net.Conn {
+	withConnWrapper(func(c *net.TCPConn) net.Conn {
 		c.SetWriteBuffer(4 * maxBodyBytes)
-		return closer{c, closing}
+		return closeNotifyConn{c, closing}
 	})(s)
 	go s.Run(t.Context())
 	c := dial(t, s)
@@ -623,27 +623,27 @@
 }
 
 // acceptor is a listener that holds a connection which it has accepted.
-type acceptor struct {
+type pausedListener struct {
 	net.Listener
-	has, goOn chan struct{}
+	accepted, resume chan struct{}
 }
 
-func (l acceptor) Accept() (net.Conn, error) {
+func (l pausedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err == nil {
-		signal(l.has)
-		<-l.goOn
+		signal(l.accepted)
+		<-l.resume
 	}
 	return c, err
 }
 
 // A connection that is accepted while the listener is closed is served before the program ends.
-func TestDrainCountsTheLastConnection(t *testing.T) {
-	ln := acceptor{has: make(chan struct{}, 1), goOn: make(chan struct{})}
-	s := undrained(t, echo, func(s *Sidecar) { ln.Listener = s.listener; s.listener = ln })
+func TestDrainWaitsForConnectionAcceptedLast(t *testing.T) {
+	ln := pausedListener{accepted: make(chan struct{}, 1), resume: make(chan struct{})}
+	s := startWithoutDrain(t, echo, func(s *Sidecar) { ln.Listener = s.listener; s.listener = ln })
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	<-ln.has
+	<-ln.accepted
 	ln.Close()
 	drained := make(chan struct{})
 	go func() { s.front.downstream.drain(time.Now().Add(long)); close(drained) }()
@@ -652,7 +652,7 @@
 		t.Error("the program would end with a request that waits")
 	case <-time.After(20 * time.Millisecond): // sound code is only held up by it
 	}
-	close(ln.goOn)
+	close(ln.resume)
 	if res, _ := c.answer(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
@@ -660,25 +660,25 @@
 }
 
 // What comes after all has been given up is refused at once: what it would be sent for, nobody could answer any more.
-func TestRequestsAfterTheLastAreRefused(t *testing.T) {
-	s, came := serving(t, nil)
+func TestRequestsAfterAbortAllAreRefused(t *testing.T) {
+	s, received := serving(t, nil)
 	c := dial(t, s)
 	s.loop.postAndWait(s.loop.abortAll)
 	c.send("POST", "pay", "1")
-	if res, _ := c.answer(t); res.StatusCode != statusRefused || res.Header.Get("Retry-After") == "" || len(came) > 0 {
-		t.Errorf("status %d, %d sent on, Retry-After %q", res.StatusCode, len(came), res.Header.Get("Retry-After"))
+	if res, _ := c.answer(t); res.StatusCode != statusRefused || res.Header.Get("Retry-After") == "" || len(received) > 0 {
+		t.Errorf("status %d, %d sent on, Retry-After %q", res.StatusCode, len(received), res.Header.Get("Retry-After"))
 	}
 }
 
 // Where deadlines are so short that SIGKILL comes soon after connections stop coming, what was taken is still answered
 // before the program ends.
 func TestDrainWithShortDeadlines(t *testing.T) {
-	came, release := make(chan struct{}), make(chan struct{})
+	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	s := undrained(t, func(int, net.Conn, *http.Request) bool { close(came); <-release; return false }, nil)
+	s := startWithoutDrain(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }, nil)
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
-	<-came
+	<-received
 	s.front.drain(s.listener, 20*time.Millisecond)
 	if res, _ := c.answer(t); res.StatusCode != statusFailed {
 		t.Errorf("status %d, want a failure", res.StatusCode)
@@ -686,12 +686,12 @@
 }
 
 // A request that is sent too slowly keeps nobody out.
-func TestSlowRequestsGiveWay(t *testing.T) {
+func TestSlowRequestsAreEvicted(t *testing.T) {
 	s, _ := serving(t, func(s *Sidecar) {
 		s.front.downstream.maxConns, s.front.downstream.slowRequestTime = 2*evictionHeadroom, 0
 	})
 	for range 2 * evictionHeadroom {
-		comesTo(t, s, dial(t, s))
+		sendFirstHalf(t, s, dial(t, s))
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
@@ -702,13 +702,13 @@
 
 // An endpoint in trouble sends an answer twice, the second a little later: it must not become the answer to the next
 // client's request. The connection rests first, and one on which more has come meanwhile is not used again.
-func TestASecondAnswerReachesNobody(t *testing.T) {
-	again, sent := make(chan struct{}), make(chan struct{})
+func TestDuplicateResponseIsDiscarded(t *testing.T) {
+	sendDuplicate, sent := make(chan struct{}), make(chan struct{})
 	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
 		io.WriteString(c, text)
 		if n == 0 {
-			<-again
+			<-sendDuplicate
 			io.WriteString(c, text)
 			close(sent)
 		}
@@ -716,22 +716,22 @@
 	})
 	u := pool(ln.Addr().String(), 4)
 	u.reuseDelay = time.Hour
-	serves := func(want string) {
+	expectResponse := func(want string) {
 		t.Helper()
 		if got, a := attemptOn(u, long); got != forkline.OK || string(a.body) != want {
 			t.Fatalf("outcome %v, answer %v, want that of connection %s", got, a, want)
 		}
 	}
-	serves("0")
-	serves("1") // the first has looked sound so far
-	close(again)
+	expectResponse("0")
+	expectResponse("1") // the first has looked sound so far
+	close(sendDuplicate)
 	<-sent
 	idle := u.find(1).idle
 	eventually(t, "the second answer", func() bool { return !stillOpen(idle[0].Conn) })
 	u.reuseDelay = 0
-	serves("1")
+	expectResponse("1")
 	slices.Reverse(idle)
-	serves("1")
+	expectResponse("1")
 	if u.openConns != 1 {
 		t.Errorf("%d connections are kept, want the sound one", u.openConns)
 	}
@@ -739,7 +739,7 @@
 
 // The last byte of an unsafe request waits for a moment. A second answer that comes on a used connection by then is
 // none to this request: it goes on another connection, and nothing has run.
-func TestASecondAnswerUnderARequest(t *testing.T) {
+func TestDuplicateResponseDuringUnsafeRequest(t *testing.T) {
 	ln := listen(t)
 	go func() {
 		for n := 0; ; n++ {
@@ -768,27 +768,27 @@
 		t.Fatalf("outcome %v", got)
 	}
 	u.breakCheckTime = long
-	out := get()
-	out.atMostOnce = true
-	got, a := u.do(newAttempt(time.Time{}), u.find(1), out, time.Now().Add(long))
+	outgoing := get()
+	outgoing.atMostOnce = true
+	got, a := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(long))
 	if got != forkline.OK || string(a.body) != "1" {
 		t.Errorf("outcome %v, answer %v, want that of the second connection", got, a)
 	}
 }
 
 // Lists may come indented, several on a line, and with braces in their strings.
-func TestListsInAnyForm(t *testing.T) {
-	told := make(chan List, 10)
-	d := &discovery{policy: unhurried(long), onList: func(l List) { told <- l }, onFailed: func() {}}
+func TestWatchAcceptsAnyJSONLayout(t *testing.T) {
+	lists := make(chan List, 10)
+	d := &discovery{policy: unhurried(long), onList: func(l List) { lists <- l }, onFailed: func() {}}
 	d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n\n{\n  \"rev\": 1,\n\n  \"all\": true,\n  \"targets\": [\n    {\n      "+
 			"\"uid\": \"}\\\"{\",\r\n\t\"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n\n {\"rev\":2} {\"rev\":3}\n")
 		return false
 	}).Addr().String()
 	d.poll(t.Context())
-	close(told)
+	close(lists)
 	rev := int64(0)
-	for l := range told {
+	for l := range lists {
 		if rev++; l.Rev != rev || rev == 1 && (len(l.Targets) != 1 || l.Targets[0].UID != "}\"{") {
 			t.Errorf("list %+v", l)
 		}
@@ -800,8 +800,8 @@
 
 // A watch that is answered but then says nothing is dead as soon as one that fell silent later: before its first
 // object, within one, and also while bytes of one trickle in.
-func TestSilenceFromTheStart(t *testing.T) {
-	for name, f := range map[string]func(net.Conn){
+func TestWatchSilentFromTheStart(t *testing.T) {
+	for name, respond := range map[string]func(net.Conn){
 		"before the first object": func(net.Conn) {},
 		"within one":              func(c net.Conn) { io.WriteString(c, "{\n\"rev\":") },
 		"trickling": func(c net.Conn) {
@@ -816,7 +816,7 @@
 		d := &discovery{policy: unhurried(30 * time.Millisecond), onList: func(List) {}, onFailed: func() {}}
 		d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
-			f(c)
+			respond(c)
 			<-done
 			return false
 		}).Addr().String()
@@ -833,33 +833,33 @@
 
 // What is missed by a silent watch counts as told 6 s after: by then it has to be noticed, the module's first back-off
 // has to be over, and a call answered.
-func TestSilenceLeavesTimeToAskAgain(t *testing.T) {
-	const told, backOff, answered = 6 * time.Second, 1500 * time.Millisecond, 500 * time.Millisecond
+func TestSilenceTimeoutLeavesTimeToRetry(t *testing.T) {
+	const limit, backOff, callTime = 6 * time.Second, 1500 * time.Millisecond, 500 * time.Millisecond
 	p := listwatch.PollPolicy
-	if p.SilenceTimeout+backOff+answered > told || p.SoftTimeout+backOff+answered > told {
+	if p.SilenceTimeout+backOff+callTime > limit || p.SoftTimeout+backOff+callTime > limit {
 		t.Errorf("silence shows after %v and %v", p.SilenceTimeout, p.SoftTimeout)
 	}
 }
 
 // A new process has an old list, and the agent knows of a drain since: what is asked for before its first word must not
 // go to the server that drains. With no word at all the old list has to do.
-func TestTheOldListWaitsForTheAgent(t *testing.T) {
+func TestCachedListWaitsForDiscovery(t *testing.T) {
 	for silent, want := range map[bool]string{false: "other", true: "either"} {
-		came, tell, done := make(chan string, 10), make(chan struct{}), make(chan struct{})
-		serve := func(name string) string {
+		received, sendList, done := make(chan string, 10), make(chan struct{}), make(chan struct{})
+		newServer := func(name string) string {
 			return script(t, func(n int, c net.Conn, r *http.Request) bool {
-				came <- name
+				received <- name
 				return echo(n, c, r)
 			}).Addr().String()
 		}
-		cfg := config(t, serve("draining"), serve("other"))
+		cfg := config(t, newServer("draining"), newServer("other"))
 		cfg.Site.Settings.Limits.ConnectTimeout = float64(long.Milliseconds()) // also on a busy machine
 		cfg.Site.Settings.Classes[0].Timeout, cfg.Site.Settings.Classes[0].TargetLatency = 20000, 20000
 		draining := cfg.InitialList.Targets[0]
 		draining.State = "Terminating"
-		cfg.Discovery = discover(t, func(_ string, f func(List), _ func()) {
-			<-tell
-			f(List{Rev: 2, Targets: []Target{draining}})
+		cfg.Discovery = discover(t, func(_ string, notify func(List), _ func()) {
+			<-sendList
+			notify(List{Rev: 2, Targets: []Target{draining}})
 			<-done
 		})
 		s, err := New(cfg)
@@ -871,26 +871,26 @@
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go s.Run(ctx)
-		callers := make([]*client, 4)
-		for i := range callers {
-			callers[i] = dial(t, s)
-			callers[i].id = fmt.Sprint(i)
-			callers[i].send("GET", "read", "")
+		clients := make([]*client, 4)
+		for i := range clients {
+			clients[i] = dial(t, s)
+			clients[i].id = fmt.Sprint(i)
+			clients[i].send("GET", "read", "")
 		}
 		if !silent {
-			eventually(t, "requests that wait", func() (all bool) {
-				s.loop.postAndWait(func() { all = len(s.loop.calls) == len(callers) })
-				return all
+			eventually(t, "requests that wait", func() (allWait bool) {
+				s.loop.postAndWait(func() { allWait = len(s.loop.calls) == len(clients) })
+				return allWait
 			})
-			close(tell)
+			close(sendList)
 		}
-		for _, c := range callers {
+		for _, c := range clients {
 			if res, _ := c.answer(t); res.StatusCode != 200 {
 				t.Errorf("status %d", res.StatusCode)
 			}
 		}
-		for range callers {
-			if at := <-came; want == "other" && at != want {
+		for range clients {
+			if name := <-received; want == "other" && name != want {
 				t.Errorf("a request went to the server that drains")
 			}
 		}
@@ -902,19 +902,19 @@
 
 // Discovery moves to where nothing answers: the watch on the old address is listened to on, and the failure is told, so
 // that the module asks again.
-func TestAFailingMoveKeepsTheOldWatch(t *testing.T) {
-	next, told, failed := make(chan int64), make(chan int64, 10), make(chan struct{}, 10)
-	d := &discovery{policy: unhurried(long), rev: 1, onList: func(l List) { told <- l.Rev }, onFailed: func() { failed <- struct{}{} }}
+func TestFailedAddrChangeKeepsOldWatch(t *testing.T) {
+	send, revs, failed := make(chan int64), make(chan int64, 10), make(chan struct{}, 10)
+	d := &discovery{policy: unhurried(long), rev: 1, onList: func(l List) { revs <- l.Rev }, onFailed: func() { failed <- struct{}{} }}
 	d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
-		for rev := range next {
+		for rev := range send {
 			fmt.Fprintf(c, "{\"rev\":%d}\n", rev)
 		}
 		return false
 	}).Addr().String()
 	go d.poll(t.Context())
-	next <- 2
-	if rev := <-told; rev != 2 {
+	send <- 2
+	if rev := <-revs; rev != 2 {
 		t.Fatalf("version %d", rev)
 	}
 	refusing := listen(t)
@@ -922,9 +922,9 @@
 	d.move(refusing.Addr().String())
 	d.poll(t.Context())
 	<-failed
-	next <- 3
-	if rev := <-told; rev != 3 {
+	send <- 3
+	if rev := <-revs; rev != 3 {
 		t.Errorf("version %d after the failed move", rev)
 	}
-	close(next)
+	close(send)
 }
--- a/internal/sidecar/readiness_test.go
+++ b/internal/sidecar/readiness_test.go
@@ -21,7 +21,7 @@
 }
 
 // troubles are discoveries that are of no help to a process that starts.
-var troubles = map[string]func(*testing.T) string{
+var brokenDiscoveries = map[string]func(*testing.T) string{
 	"refused": func(t *testing.T) string {
 		ln := listen(t)
 		ln.Close()
@@ -53,12 +53,12 @@
 // after the wait for the agent where they are pushed. Only the system's own clock can run beside real sockets, so this
 // wait of 1 s is waited for in full.
 func TestReadyWithoutDiscovery(t *testing.T) {
-	for name, trouble := range troubles {
-		for _, asked := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/asked %v", name, asked), func(t *testing.T) {
+	for name, startDiscovery := range brokenDiscoveries {
+		for _, polled := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%s/asked %v", name, polled), func(t *testing.T) {
 				t.Parallel()
 				cfg := config(t, script(t, echo).Addr().String())
-				cfg.Discovery, cfg.Site.Settings.PollList = trouble(t), asked
+				cfg.Discovery, cfg.Site.Settings.PollList = startDiscovery(t), polled
 				s, err := New(cfg)
 				if err != nil {
 					t.Fatal(err)
@@ -66,7 +66,7 @@
 				s.front.drainAcceptTime = 0
 				t.Cleanup(func() { s.discovery.move(nowhere()) })
 				go s.Run(t.Context())
-				if asked && !isReady(s) {
+				if polled && !isReady(s) {
 					t.Error("not ready at once")
 				}
 				eventually(t, "readiness", func() bool { return isReady(s) })
@@ -81,19 +81,19 @@
 }
 
 // With no old list there is nothing to send by until discovery tells one: then the process is ready.
-func TestReadyWithNoOldList(t *testing.T) {
-	for _, asked := range []bool{false, true} {
-		t.Run(fmt.Sprint("asked ", asked), func(t *testing.T) {
+func TestReadyOnceListArrivesWithoutCachedList(t *testing.T) {
+	for _, polled := range []bool{false, true} {
+		t.Run(fmt.Sprint("asked ", polled), func(t *testing.T) {
 			t.Parallel()
-			addr, served := script(t, echo).Addr().String(), make(chan struct{})
+			addr, sendList := script(t, echo).Addr().String(), make(chan struct{})
 			cfg := config(t)
-			cfg.Site.Settings.PollList = asked
+			cfg.Site.Settings.PollList = polled
 			cfg.Discovery = script(t, func(n int, c net.Conn, _ *http.Request) bool {
 				if n == 0 {
 					io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 					return false
 				}
-				<-served
+				<-sendList
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n\r\n"+`{"rev":1,"all":true,"targets":[{"uid":"s","endpoint":%q,"az":"z","state":"Ready"}]}`+"\n", addr)
 				io.Copy(io.Discard, c)
 				return false
@@ -108,7 +108,7 @@
 			if isReady(s) {
 				t.Error("ready with no list")
 			}
-			close(served)
+			close(sendList)
 			eventually(t, "readiness", func() bool { return isReady(s) })
 		})
 	}
@@ -116,8 +116,8 @@
 
 // Clients have crowded the listener's backlog before the process takes the first of them, with and without the first
 // bytes of a request. Those who ask whether it is ready, before and after, are answered.
-func TestReadyBehindAFullBacklog(t *testing.T) {
-	for name, first := range map[string]string{"silent": "", "half a request": firstHalf} {
+func TestReadyWithFullBacklog(t *testing.T) {
+	for name, sent := range map[string]string{"silent": "", "half a request": requestFirstHalf} {
 		t.Run(name, func(t *testing.T) {
 			cfg := config(t, script(t, echo).Addr().String())
 			cfg.Sockets, cfg.Site.Settings.PollList = MinSockets, true
@@ -127,7 +127,7 @@
 			}
 			s.front.drainAcceptTime = 0
 			for range 4 * s.maxDownstream {
-				io.WriteString(dial(t, s), first)
+				io.WriteString(dial(t, s), sent)
 			}
 			c := dial(t, s)
 			fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n")
@@ -141,7 +141,7 @@
 }
 
 // Nine in ten restarted processes have to be ready within 10 s. All that is waited for on purpose is the agent.
-func TestTheWaitForTheAgentLeavesTimeToBeReady(t *testing.T) {
+func TestCachedListDelayLeavesTimeToBeReady(t *testing.T) {
 	if defaultCachedListDelay > time.Second {
 		t.Errorf("a process with an old list waits for %v", defaultCachedListDelay)
 	}
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -18,7 +18,7 @@
 // Tests of settings that change in a running sidecar.
 
 // edited is a configuration with an edit to its settings; the one given stays as it is.
-func edited(cfg Config, edit func(*forkline.Settings)) Config {
+func withSettings(cfg Config, edit func(*forkline.Settings)) Config {
 	set := &cfg.Site.Settings
 	set.Classes, set.Tenants = slices.Clone(set.Classes), slices.Clone(set.Tenants)
 	edit(set)
@@ -26,9 +26,9 @@
 }
 
 // reload puts an edit in force.
-func reload(t *testing.T, s *Sidecar, cfg Config, edit func(*forkline.Settings)) Config {
+func reloadSettings(t *testing.T, s *Sidecar, cfg Config, edit func(*forkline.Settings)) Config {
 	t.Helper()
-	cfg = edited(cfg, edit)
+	cfg = withSettings(cfg, edit)
 	if err := s.Reload(cfg); err != nil {
 		t.Fatal(err)
 	}
@@ -36,17 +36,17 @@
 }
 
 // gated is an endpoint that answers a request named held only when it is let, and breaks it off where that says so.
-type gated struct {
-	addr string
-	came chan string
-	let  chan bool // whether the held one is answered
+type gatedServer struct {
+	addr     string
+	received chan string
+	release  chan bool // whether the held one is answered
 }
 
-func newGated(t *testing.T) *gated {
-	g := &gated{came: make(chan string, 100), let: make(chan bool, 100)}
+func newGatedServer(t *testing.T) *gatedServer {
+	g := &gatedServer{received: make(chan string, 100), release: make(chan bool, 100)}
 	g.addr = script(t, func(n int, c net.Conn, r *http.Request) bool {
 		id := r.Header.Get("X-Request-Id")
-		if g.came <- id; strings.HasPrefix(id, "held") && !<-g.let {
+		if g.received <- id; strings.HasPrefix(id, "held") && !<-g.release {
 			return false
 		}
 		return echo(n, c, r)
@@ -54,10 +54,10 @@
 	return g
 }
 
-func (g *gated) await(t *testing.T, id string) {
+func (g *gatedServer) awaitRequest(t *testing.T, id string) {
 	t.Helper()
 	select {
-	case got := <-g.came:
+	case got := <-g.received:
 		if got != id {
 			t.Fatalf("request %q came, want %q", got, id)
 		}
@@ -67,7 +67,7 @@
 }
 
 // ask sends one request on a connection of its own.
-func ask(t *testing.T, s *Sidecar, id, method, class string, headers ...string) *client {
+func sendRequest(t *testing.T, s *Sidecar, id, method, class string, headers ...string) *client {
 	t.Helper()
 	c := dial(t, s)
 	c.id = id
@@ -75,37 +75,37 @@
 	return c
 }
 
-func (c *client) status(t *testing.T) int {
+func (c *client) readStatus(t *testing.T) int {
 	t.Helper()
 	res, _ := c.answer(t)
 	return res.StatusCode
 }
 
 // A class that was unknown is served, one that is gone is not found, and what is out meanwhile is answered.
-func TestReloadOfClasses(t *testing.T) {
-	g := newGated(t)
-	cfg := patient(t, g.addr)
+func TestReloadClasses(t *testing.T) {
+	server := newGatedServer(t)
+	cfg := patient(t, server.addr)
 	s := start(t, cfg)
-	held := ask(t, s, "held", "GET", "read")
-	g.await(t, "held")
-	if status := ask(t, s, "new", "GET", "new").status(t); status != 404 {
+	held := sendRequest(t, s, "held", "GET", "read")
+	server.awaitRequest(t, "held")
+	if status := sendRequest(t, s, "new", "GET", "new").readStatus(t); status != 404 {
 		t.Errorf("status %d before the class is known", status)
 	}
-	kept := dial(t, s) // a connection from before goes on
-	reload(t, s, cfg, func(set *forkline.Settings) {
+	reused := dial(t, s) // a connection from before goes on
+	reloadSettings(t, s, cfg, func(set *forkline.Settings) {
 		set.Classes[0].Name = "new" // and read is gone
 		slices.Reverse(set.Classes)
 	})
-	kept.id = "kept"
-	kept.send("GET", "new", "")
-	if status := kept.status(t); status != 200 {
+	reused.id = "kept"
+	reused.send("GET", "new", "")
+	if status := reused.readStatus(t); status != 200 {
 		t.Errorf("status %d of the new class", status)
 	}
-	if status := ask(t, s, "gone", "GET", "read").status(t); status != 404 {
+	if status := sendRequest(t, s, "gone", "GET", "read").readStatus(t); status != 404 {
 		t.Errorf("status %d of the class that is gone", status)
 	}
-	g.let <- true
-	if status := held.status(t); status != 200 {
+	server.release <- true
+	if status := held.readStatus(t); status != 200 {
 		t.Errorf("status %d of the request that was out", status)
 	}
 	s.loop.postAndWait(func() {
@@ -116,11 +116,11 @@
 }
 
 // A long deadline that is short now ends a request in time: it would wait for longer than this test by the old one.
-func TestReloadOfADeadline(t *testing.T) {
-	g := newGated(t)
-	cfg := patient(t, g.addr)
+func TestReloadTimeout(t *testing.T) {
+	server := newGatedServer(t)
+	cfg := patient(t, server.addr)
 	s := start(t, cfg)
-	reload(t, s, cfg, func(set *forkline.Settings) {
+	reloadSettings(t, s, cfg, func(set *forkline.Settings) {
 		set.Classes[0].TargetLatency, set.Classes[0].Timeout = 100, 200
 		set.Limits.ConnectTimeout, set.Safety.DrainGrace, set.Limits.SendRetryAfter = 77, 1000, false
 	})
@@ -129,36 +129,36 @@
 			t.Errorf("dials for %v, begins within %v, clients come back after %v", u.dialTimeout, u.firstByteTimeout, s.loop.retryAfter)
 		}
 	})
-	if status := ask(t, s, "held", "GET", "read").status(t); status != statusRefused && status != statusFailed {
+	if status := sendRequest(t, s, "held", "GET", "read").readStatus(t); status != statusRefused && status != statusFailed {
 		t.Errorf("status %d", status)
 	}
-	g.let <- false
+	server.release <- false
 }
 
 // A quota that is used up turns away at once what would otherwise wait.
-func TestReloadOfAQuota(t *testing.T) {
-	g := newGated(t)
-	cfg := patient(t, g.addr)
+func TestReloadQuota(t *testing.T) {
+	server := newGatedServer(t)
+	cfg := patient(t, server.addr)
 	s := start(t, cfg)
 	for _, id := range []string{"held1", "held2", "held3", "held4", "held5"} { // all that a copy has out at its start
-		ask(t, s, id, "GET", "read")
-		g.await(t, id)
+		sendRequest(t, s, id, "GET", "read")
+		server.awaitRequest(t, id)
 	}
-	reload(t, s, cfg, func(set *forkline.Settings) {
+	reloadSettings(t, s, cfg, func(set *forkline.Settings) {
 		set.Tenants, set.OverQuotaValue = []forkline.Tenant{{Name: "small", Quota: 1e-6}}, 0
 	})
-	ask(t, s, "waits", "GET", "read", "X-Tenant: small") // the one that the bucket holds
-	taken(t, s, func(c *call) bool { return c.id == "waits" })
-	if status := ask(t, s, "over", "GET", "read", "X-Tenant: small").status(t); status != statusRefused {
+	sendRequest(t, s, "waits", "GET", "read", "X-Tenant: small") // the one that the bucket holds
+	awaitCall(t, s, func(c *call) bool { return c.id == "waits" })
+	if status := sendRequest(t, s, "over", "GET", "read", "X-Tenant: small").readStatus(t); status != statusRefused {
 		t.Errorf("status %d beyond the quota", status)
 	}
 	for range 5 {
-		g.let <- true
+		server.release <- true
 	}
 }
 
 // A request that may have run is not sent again if its class is unsafe in either file.
-func TestReloadOfAnEffectInFlight(t *testing.T) {
+func TestReloadEffectOfOpenRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		method, class string
 		index         int
@@ -168,71 +168,71 @@
 		"unsafe, then safe": {"POST", "pay", 1, forkline.Safe},
 	} {
 		t.Run(name, func(t *testing.T) {
-			g, other := newGated(t), newGated(t)
-			cfg := patient(t, g.addr)
+			server, other := newGatedServer(t), newGatedServer(t)
+			cfg := patient(t, server.addr)
 			s := start(t, cfg)
-			out := ask(t, s, "held", c.method, c.class)
-			g.await(t, "held")
-			reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[c.index].Effect = c.effect })
+			open := sendRequest(t, s, "held", c.method, c.class)
+			server.awaitRequest(t, "held")
+			reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[c.index].Effect = c.effect })
 			s.loop.postAndWait(func() {
-				if k := s.loop.callsByID["held"]; k.safe || !k.outgoing.atMostOnce {
-					t.Errorf("safe %v, must run once %v", k.safe, k.outgoing.atMostOnce)
+				if openCall := s.loop.callsByID["held"]; openCall.safe || !openCall.outgoing.atMostOnce {
+					t.Errorf("safe %v, must run once %v", openCall.safe, openCall.outgoing.atMostOnce)
 				}
 			})
-			more := List{Targets: []Target{{UID: "more", Endpoint: other.addr, Zone: "z", State: "Ready"}}}
-			s.loop.postAndWait(func() { s.loop.updateList(more, forkline.ListDelta) })
-			g.let <- false
-			if status := out.status(t); status != statusFailed || len(g.came)+len(other.came) > 0 {
-				t.Errorf("status %d, %d further sends", status, len(g.came)+len(other.came))
+			added := List{Targets: []Target{{UID: "more", Endpoint: other.addr, Zone: "z", State: "Ready"}}}
+			s.loop.postAndWait(func() { s.loop.updateList(added, forkline.ListDelta) })
+			server.release <- false
+			if status := open.readStatus(t); status != statusFailed || len(server.received)+len(other.received) > 0 {
+				t.Errorf("status %d, %d further sends", status, len(server.received)+len(other.received))
 			}
 		})
 	}
 }
 
 // A request that comes again while its first copy is called off may not run if that copy was of an unsafe class.
-func TestReloadBetweenTwoCopies(t *testing.T) {
-	g := newGated(t)
-	cfg := patient(t, g.addr)
+func TestReloadBeforeClientRetry(t *testing.T) {
+	server := newGatedServer(t)
+	cfg := patient(t, server.addr)
 	s := start(t, cfg)
-	var old *call
-	first := ask(t, s, "held", "POST", "pay")
-	g.await(t, "held")
-	s.loop.postAndWait(func() { old = s.loop.callsByID["held"]; old.openAttempts++ }) // what ends its attempt is held back
+	var original *call
+	first := sendRequest(t, s, "held", "POST", "pay")
+	server.awaitRequest(t, "held")
+	s.loop.postAndWait(func() { original = s.loop.callsByID["held"]; original.openAttempts++ }) // what ends its attempt is held back
 	first.Close()
-	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = old.ended }); return ended })
-	reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[1].Effect = forkline.Safe })
-	second := ask(t, s, "held", "GET", "pay")
-	eventually(t, "the second copy", func() (waits bool) { s.loop.postAndWait(func() { waits = old.retry != nil }); return waits })
-	s.loop.post(func() { old.openAttempts--; s.loop.release(old) })
-	if status := second.status(t); status != statusFailed || len(g.came) > 0 {
-		t.Errorf("status %d, %d further sends", status, len(g.came))
-	}
-	g.let <- false
+	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = original.ended }); return ended })
+	reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[1].Effect = forkline.Safe })
+	retry := sendRequest(t, s, "held", "GET", "pay")
+	eventually(t, "the second copy", func() (waiting bool) { s.loop.postAndWait(func() { waiting = original.retry != nil }); return waiting })
+	s.loop.post(func() { original.openAttempts--; s.loop.release(original) })
+	if status := retry.readStatus(t); status != statusFailed || len(server.received) > 0 {
+		t.Errorf("status %d, %d further sends", status, len(server.received))
+	}
+	server.release <- false
 }
 
 // A request that was read by the old settings and comes to the loop after the change is taken by the new ones.
-func TestReloadOvertakesARequest(t *testing.T) {
+func TestReloadBeforeParsedRequestIsAccepted(t *testing.T) {
 	cfg := config(t, listen(t).Addr().String())
 	s := start(t, cfg)
 	parse := func(method, class string) *call {
-		c, _, complaint := s.front.parse(message{
+		c, _, reason := s.front.parse(message{
 			startLine: method + " /" + class + "/x HTTP/1.1",
 			header:    http.Header{"X-Class": {class}, "X-Request-Id": {"r"}, "X-Tenant": {"b"}},
 		})
 		if c == nil {
-			t.Fatal(complaint)
+			t.Fatal(reason)
 		}
 		c.setDeadline(s.loop.now())
 		return c
 	}
-	moved, gone, other, keyless := parse("GET", "read"), parse("POST", "pay"), parse("POST", "pay"), parse("POST", "pay")
-	arrived := moved.event.Deadline - moved.answerWithin
-	cfg = reload(t, s, cfg, func(set *forkline.Settings) {
+	renumbered, removed, wrongMethod, keyless := parse("GET", "read"), parse("POST", "pay"), parse("POST", "pay"), parse("POST", "pay")
+	arrived := renumbered.event.Deadline - renumbered.answerWithin
+	cfg = reloadSettings(t, s, cfg, func(set *forkline.Settings) {
 		set.Classes = []forkline.Class{set.Classes[2], set.Classes[0]} // pay is gone
 		set.Classes[1].Timeout = 1500
 		set.Tenants = []forkline.Tenant{{Name: "a"}, {Name: "b"}}
 	})
-	take := func(c *call) (got response) {
+	accept := func(c *call) (got response) {
 		s.loop.postAndWait(func() {
 			c.respond = func(a response) { got = a }
 			s.loop.accept(c)
@@ -240,46 +240,46 @@
 		})
 		return got
 	}
-	take(moved)
-	if e := moved.event; e.Class != 1 || e.Tenant != 1 || e.Deadline != arrived+1450 {
+	accept(renumbered)
+	if e := renumbered.event; e.Class != 1 || e.Tenant != 1 || e.Deadline != arrived+1450 {
 		t.Errorf("class %d, tenant %d, due after %v ms", e.Class, e.Tenant, e.Deadline-arrived)
 	}
-	if got := take(gone); got.status != 404 {
+	if got := accept(removed); got.status != 404 {
 		t.Errorf("status %d for a class that is gone", got.status)
 	}
-	cfg = reload(t, s, cfg, func(set *forkline.Settings) {
+	cfg = reloadSettings(t, s, cfg, func(set *forkline.Settings) {
 		set.Classes = append(set.Classes, forkline.Class{Name: "pay", TargetLatency: 1, Timeout: 9, Effect: forkline.Safe})
 	})
-	if got := take(other); got.status != 405 {
+	if got := accept(wrongMethod); got.status != 405 {
 		t.Errorf("status %d for a method that the class does not have any more", got.status)
 	}
-	reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[2].Effect = forkline.Keyed })
-	if got := take(keyless); got.status != 400 {
+	reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[2].Effect = forkline.Keyed })
+	if got := accept(keyless); got.status != 400 {
 		t.Errorf("status %d for a request without the key that it needs now", got.status)
 	}
 }
 
 // What cannot be used, or cannot change, leaves everything as it was, the address of discovery too.
-func TestReloadTakesAllOrNothing(t *testing.T) {
-	g := newGated(t)
-	cfg := patient(t, g.addr)
+func TestReloadIsAtomic(t *testing.T) {
+	server := newGatedServer(t)
+	cfg := patient(t, server.addr)
 	s := start(t, cfg)
-	for want, spoil := range map[string]func(*forkline.Settings){
+	for want, invalidate := range map[string]func(*forkline.Settings){
 		"Stages":        func(set *forkline.Settings) { set.Stages = 3 },
 		"ListOnRequest": func(set *forkline.Settings) { set.PollList = true },
 		"GiveUp":        func(set *forkline.Settings) { set.Classes[1].Timeout = -1 },
 		"Classes":       func(set *forkline.Settings) { set.Classes = nil },
 	} {
-		bad := edited(cfg, func(set *forkline.Settings) { set.Classes[0].Name = "new"; set.Copies = 9; spoil(set) })
-		bad.Discovery = "127.0.0.1:1"
-		if err := s.Reload(bad); err == nil || !strings.Contains(err.Error(), want) {
+		invalid := withSettings(cfg, func(set *forkline.Settings) { set.Classes[0].Name = "new"; set.Copies = 9; invalidate(set) })
+		invalid.Discovery = "127.0.0.1:1"
+		if err := s.Reload(invalid); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("error %v, want one that names %s", err, want)
 		}
 	}
-	if status := ask(t, s, "a", "GET", "new").status(t); status != 404 {
+	if status := sendRequest(t, s, "a", "GET", "new").readStatus(t); status != 404 {
 		t.Errorf("status %d of a class that was refused", status)
 	}
-	if status := ask(t, s, "b", "GET", "read").status(t); status != 200 {
+	if status := sendRequest(t, s, "b", "GET", "read").readStatus(t); status != 200 {
 		t.Errorf("status %d of a class of before", status)
 	}
 	if s.discovery.addr != cfg.Discovery || s.loop.reloadedIndex != nil {
@@ -288,11 +288,11 @@
 }
 
 // The same settings cost the loop nothing, and a move of discovery in that file counts.
-func TestReloadOfTheSameSettings(t *testing.T) {
+func TestReloadUnchangedSettings(t *testing.T) {
 	cfg := config(t, listen(t).Addr().String())
 	s := start(t, cfg)
-	z := seize(s) // it would have to wait for the loop
-	same := edited(cfg, func(*forkline.Settings) {})
+	occupied := occupyLoop(s) // it would have to wait for the loop
+	same := withSettings(cfg, func(*forkline.Settings) {})
 	same.Discovery, same.Sockets, same.Name = listen(t).Addr().String(), 999, "m"
 	done := make(chan error)
 	go func() { done <- s.Reload(same) }()
@@ -307,43 +307,43 @@
 	if s.discovery.addr != same.Discovery {
 		t.Errorf("discovery is at %s", s.discovery.addr)
 	}
-	if kept := s.restartOnlyChanges(&same); !slices.Equal(kept, []string{"name", "limits.sockets"}) {
-		t.Errorf("kept: %q", kept)
+	if restartOnly := s.restartOnlyChanges(&same); !slices.Equal(restartOnly, []string{"name", "limits.sockets"}) {
+		t.Errorf("kept: %q", restartOnly)
 	}
-	z.free()
+	occupied.release()
 }
 
 // Changes and moves come at once from several sides, while the loop's mail is full and a watch tells lists: nobody
 // waits for good, and what came last is in force.
-func TestReloadWithTheMailFull(t *testing.T) {
+func TestReloadWithFullQueue(t *testing.T) {
 	cfg := config(t, listen(t).Addr().String())
-	lists := discover(t, func(_ string, tell func(List), beat func()) {
+	listingAddr := discover(t, func(_ string, notify func(List), beat func()) {
 		for rev := int64(1); rev < 50; rev++ {
-			tell(List{Rev: rev, Full: true, Targets: cfg.InitialList.Targets})
+			notify(List{Rev: rev, Full: true, Targets: cfg.InitialList.Targets})
 		}
 		beat()
 	})
 	s := start(t, cfg)
-	z := seize(s)
+	occupied := occupyLoop(s)
 	for len(s.loop.queue) < cap(s.loop.queue) {
 		select {
 		case s.loop.queue <- func() {}:
 		default: // discovery was ahead
 		}
 	}
-	var all sync.WaitGroup
+	var reloads sync.WaitGroup
 	for i := range 20 {
-		all.Go(func() {
-			c := edited(cfg, func(set *forkline.Settings) { set.Classes[0].Timeout = float64(5000 + i) })
-			c.Discovery = []string{lists, cfg.Discovery}[i%2]
+		reloads.Go(func() {
+			c := withSettings(cfg, func(set *forkline.Settings) { set.Classes[0].Timeout = float64(5000 + i) })
+			c.Discovery = []string{listingAddr, cfg.Discovery}[i%2]
 			if err := s.Reload(c); err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	z.free()
-	all.Wait()
-	last := reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[0].Timeout = 7777 })
+	occupied.release()
+	reloads.Wait()
+	last := reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[0].Timeout = 7777 })
 	s.loop.postAndWait(func() {
 		if got := s.loop.reloadedIndex.settings.Classes[0].Timeout; got != 7777 {
 			t.Errorf("deadline %v in force", got)
@@ -356,9 +356,9 @@
 
 // A change during a drain is in force for what is still taken; before one, the drain follows the new longest deadline.
 // After the end it is told to be too late.
-func TestReloadAndDrain(t *testing.T) {
-	g := newGated(t)
-	cfg := patient(t, g.addr)
+func TestReloadDuringDrain(t *testing.T) {
+	server := newGatedServer(t)
+	cfg := patient(t, server.addr)
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -369,7 +369,7 @@
 	ended := make(chan error)
 	go func() { ended <- s.Run(ctx) }()
 	longest := s.drainLimit()
-	reload(t, s, cfg, func(set *forkline.Settings) {
+	reloadSettings(t, s, cfg, func(set *forkline.Settings) {
 		for i := range set.Classes {
 			set.Classes[i].TargetLatency, set.Classes[i].Timeout = 2000, 2000
 		}
@@ -377,34 +377,34 @@
 	if got := s.drainLimit(); got != longest-time.Second { // 3 s, the most that is waited for, before
 		t.Errorf("what is left is given up %v after SIGTERM, before %v", got, longest)
 	}
-	reload(t, s, cfg, func(*forkline.Settings) {}) // the drain lasts for as long as it may
-	held := ask(t, s, "held", "GET", "read")
-	g.await(t, "held")
+	reloadSettings(t, s, cfg, func(*forkline.Settings) {}) // the drain lasts for as long as it may
+	held := sendRequest(t, s, "held", "GET", "read")
+	server.awaitRequest(t, "held")
 	cancel()
 	eventually(t, "the drain", s.front.draining.Load)
-	cfg = reload(t, s, cfg, func(set *forkline.Settings) { set.Classes[1].Name = "new" })
-	if status := ask(t, s, "late", "POST", "new").status(t); status != 200 {
+	cfg = reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[1].Name = "new" })
+	if status := sendRequest(t, s, "late", "POST", "new").readStatus(t); status != 200 {
 		t.Errorf("status %d of a class that came during the drain", status)
 	}
-	g.let <- true
-	if status := held.status(t); status != 200 {
+	server.release <- true
+	if status := held.readStatus(t); status != 200 {
 		t.Errorf("status %d of what was taken before", status)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	late := edited(cfg, func(set *forkline.Settings) { set.Copies = 5 })
+	late := withSettings(cfg, func(set *forkline.Settings) { set.Copies = 5 })
 	if err := s.Reload(late); !errors.Is(err, errSidecarEnded) {
 		t.Errorf("error %v after the end", err)
 	}
 }
 
 // The module is told the list by the new numbers of zones: two that had none, and were one for it, are two.
-func TestReloadOfZonesTellsTheListAnew(t *testing.T) {
-	a, b := newGated(t), newGated(t)
+func TestReloadZonesResendsList(t *testing.T) {
+	a, b := newGatedServer(t), newGatedServer(t)
 	cfg := patient(t, a.addr, b.addr)
 	cfg.InitialList.Targets[0].Zone, cfg.InitialList.Targets[1].Zone = "a", "b"
-	cfg = edited(cfg, func(set *forkline.Settings) {
+	cfg = withSettings(cfg, func(set *forkline.Settings) {
 		c := &set.Classes[2]
 		c.TargetLatency, c.Timeout, c.Scope, c.DedupWindow = set.Classes[0].TargetLatency, set.Classes[0].Timeout, forkline.ScopeZone, 1e9
 	})
@@ -414,29 +414,29 @@
 	if err := s.Reload(cfg); err != nil {
 		t.Fatal(err)
 	}
-	out := ask(t, s, "held", "POST", "add", "Idempotency-Key: k")
+	open := sendRequest(t, s, "held", "POST", "add", "Idempotency-Key: k")
 	for range 9 {
-		a.let <- false
-		b.let <- false
+		a.release <- false
+		b.release <- false
 	}
-	if status := out.status(t); status != statusFailed || len(a.came) > 0 == (len(b.came) > 0) {
-		t.Errorf("status %d after %d sends to one and %d to the other, want all in one zone", status, len(a.came), len(b.came))
+	if status := open.readStatus(t); status != statusFailed || len(a.received) > 0 == (len(b.received) > 0) {
+		t.Errorf("status %d after %d sends to one and %d to the other, want all in one zone", status, len(a.received), len(b.received))
 	}
 }
 
 // Zones have other numbers: nothing is repeated in a zone by its old one.
-func TestReloadOfZones(t *testing.T) {
-	g, other := newGated(t), newGated(t)
-	cfg := patient(t, g.addr, other.addr)
+func TestReloadZonesDoesNotRetryByOldNumber(t *testing.T) {
+	server, other := newGatedServer(t), newGatedServer(t)
+	cfg := patient(t, server.addr, other.addr)
 	cfg.InitialList.Targets[1].Zone = "y"
 	cfg.InitialList.Targets = cfg.InitialList.Targets[:1]
-	cfg = edited(cfg, func(set *forkline.Settings) {
+	cfg = withSettings(cfg, func(set *forkline.Settings) {
 		c := &set.Classes[2]
 		c.TargetLatency, c.Timeout, c.Scope, c.DedupWindow = set.Classes[0].TargetLatency, set.Classes[0].Timeout, forkline.ScopeZone, 1e9
 	})
 	s := start(t, cfg)
-	out := ask(t, s, "held", "POST", "add", "Idempotency-Key: k")
-	g.await(t, "held")
+	open := sendRequest(t, s, "held", "POST", "add", "Idempotency-Key: k")
+	server.awaitRequest(t, "held")
 	s.loop.postAndWait(func() { s.loop.updateList(List{Full: true}, forkline.ListFull) }) // its server is gone and not told anew
 	cfg.Site.Zones = []string{"y", "z"}
 	if err := s.Reload(cfg); err != nil {
@@ -452,9 +452,9 @@
 	// Another one is in the zone of its old number.
 	list := List{Full: true, Targets: []Target{{UID: "s-1", Endpoint: other.addr, Zone: "y", State: "Ready"}}}
 	s.loop.postAndWait(func() { s.loop.updateList(list, forkline.ListFull) })
-	g.let <- false
-	if status := out.status(t); status != statusFailed || len(other.came) > 0 {
-		t.Errorf("status %d, %d sends to a server that does not know the key", status, len(other.came))
+	server.release <- false
+	if status := open.readStatus(t); status != statusFailed || len(other.received) > 0 {
+		t.Errorf("status %d, %d sends to a server that does not know the key", status, len(other.received))
 	}
 	s.loop.postAndWait(func() {
 		if d := s.loop.directory; len(d.targets) != 1 || len(d.ids) != 1 {
@@ -464,7 +464,7 @@
 }
 
 // Connections go by the new limits: idle ones that are too old end, and what was learned of them stays if it is less.
-func TestReloadOfConnections(t *testing.T) {
+func TestReloadConnectionLimits(t *testing.T) {
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
--- a/internal/sidecar/remembered_test.go
+++ b/internal/sidecar/remembered_test.go
@@ -14,12 +14,12 @@
 
 // A client whose connection was reset under the answer sends its request once more, some time after it has ended. What
 // may have run and must not simply run twice fails then; what did not run, or is safe, is served.
-func TestARequestThatComesAgainRunsOnce(t *testing.T) {
+func TestClientRetryAfterEndRunsOnce(t *testing.T) {
 	const notRun = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
-		method, class string
-		first         string // answer of the endpoint to the first copy; "" = it is served
-		sends, want   int
+		method, class         string
+		firstResponse         string // answer of the endpoint to the first copy; "" = it is served
+		wantSends, wantStatus int
 	}{
 		"unsafe, served":         {"POST", "pay", "", 1, statusFailed},
 		"unsafe, cut off":        {"POST", "pay", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", 1, statusFailed},
@@ -29,12 +29,12 @@
 		"unsafe, while all ends": {"POST", "pay", "", 1, statusFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
-			came := make(chan struct{}, 10)
+			received := make(chan struct{}, 10)
 			cfg := config(t, script(t, func(n int, conn net.Conn, r *http.Request) bool {
-				came <- struct{}{}
-				if len(came) == 1 && c.first != "" {
-					io.WriteString(conn, c.first)
-					return c.first == notRun
+				received <- struct{}{}
+				if len(received) == 1 && c.firstResponse != "" {
+					io.WriteString(conn, c.firstResponse)
+					return c.firstResponse == notRun
 				}
 				return echo(n, conn, r)
 			}).Addr().String())
@@ -44,27 +44,27 @@
 			first.send(c.method, c.class, "", "Idempotency-Key: k")
 			first.answer(t)
 			first.Close()
-			for left := 1; left > 0; { // the first copy is over, and its attempt closed
-				s.loop.postAndWait(func() { left = len(s.loop.calls) + len(s.loop.callsByID) })
+			for remaining := 1; remaining > 0; { // the first copy is over, and its attempt closed
+				s.loop.postAndWait(func() { remaining = len(s.loop.calls) + len(s.loop.callsByID) })
 			}
 			if name == "unsafe, while all ends" {
 				s.loop.postAndWait(s.loop.abortAll)
 			}
 			second.send(c.method, c.class, "", "Idempotency-Key: k")
-			if res, _ := second.answer(t); res.StatusCode != c.want || len(came) != c.sends {
-				t.Errorf("status %d after %d sends, want %d after %d", res.StatusCode, len(came), c.want, c.sends)
+			if res, _ := second.answer(t); res.StatusCode != c.wantStatus || len(received) != c.wantSends {
+				t.Errorf("status %d after %d sends, want %d after %d", res.StatusCode, len(received), c.wantStatus, c.wantSends)
 			}
 		})
 	}
 }
 
 // While all is given up, a copy of what may still run at an endpoint has failed: a refusal would say that it cannot have run.
-func TestARequestThatComesAgainAtTheEndHasFailed(t *testing.T) {
-	s := undrained(t, echo, nil)
+func TestClientRetryAfterAbortAllFails(t *testing.T) {
+	s := startWithoutDrain(t, echo, nil)
 	statuses := make(chan int, 2)
 	s.loop.postAndWait(func() {
-		old := &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, ended: true, openAttempts: 1}
-		s.loop.callsByID["id"], s.loop.calls[9] = old, old
+		original := &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, ended: true, openAttempts: 1}
+		s.loop.callsByID["id"], s.loop.calls[9] = original, original
 		s.loop.abortAll()
 		s.loop.accept(&call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, respond: func(a response) { statuses <- a.status }})
 	})
@@ -75,7 +75,7 @@
 
 // What is remembered is bounded in time and in number, and while there is no room for more nothing is taken that would
 // have to be remembered.
-func TestWhatIsRememberedIsBounded(t *testing.T) {
+func TestRecentIDsAreBounded(t *testing.T) {
 	r := newRecentIDs()
 	for i := range 3 * maxRecentIDs {
 		r.add(fmt.Sprint(i), float64(i+100))
@@ -93,9 +93,9 @@
 	}
 }
 
-func TestNoRoomToRemember(t *testing.T) {
+func TestRequestsWhileRecentIDsAreFull(t *testing.T) {
 	socketless(t, func(t *testing.T, f *front) {
-		ask := func(class uint16, safe bool) int { // the status that it is answered with at once; 0 = it is taken
+		accept := func(class uint16, safe bool) int { // the status that it is answered with at once; 0 = it is taken
 			statuses := make(chan int, 1)
 			f.loop.postAndWait(func() {
 				f.loop.accept(&call{
@@ -115,15 +115,15 @@
 				f.loop.endedIDs.add(fmt.Sprint(i), f.loop.now()+f.loop.idRetention)
 			}
 		})
-		if status := ask(1, false); status != statusRefused {
+		if status := accept(1, false); status != statusRefused {
 			t.Errorf("status %d of an unsafe request without room", status)
 		}
-		if status := ask(0, true); status != 0 {
+		if status := accept(0, true); status != 0 {
 			t.Errorf("status %d of a safe request without room, want it taken", status)
 		}
 		synctest.Wait()
 		time.Sleep(msToDuration(f.loop.idRetention) + time.Second)
-		if status := ask(1, false); status != 0 {
+		if status := accept(1, false); status != 0 {
 			t.Errorf("status %d of an unsafe request with room, want it taken", status)
 		}
 	})
