--- a/internal/sidecar/race_test.go
+++ b/internal/sidecar/race_test.go
@@ -19,19 +19,20 @@
 	"forkline/internal/listwatch"
 )
 
-// Tests of narrow moments: each forces a crossing that else comes once in many thousand requests.
+// Each test here forces an interleaving that otherwise occurs once in many thousands of requests.
 
-// eventually waits until what is asked for holds.
+// eventually waits until the condition holds and fails the test if that takes too long. The text says what is awaited.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(long); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not seen: " + what)
+			t.Fatal("timed out waiting for " + what)
 		}
 	}
 }
 
-// A list that comes while the loop's mail is full, and a SIGHUP in that mail: neither may wait for the other.
+// The loop and discovery must not deadlock: a watch posts a list while the loop's queue is full, and an address change,
+// as after SIGHUP, is in that queue.
 func TestSetDiscoveryAddrWithFullQueue(t *testing.T) {
 	cfg := config(t)
 	cfg.Discovery = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
@@ -49,8 +50,8 @@
 	for len(s.loop.queue) < cap(s.loop.queue) {
 		s.loop.queue <- func() {}
 	}
-	go s.loop.post(func() {}) // waits ahead of the list, for the first room there is
-	eventually(t, "a post that waits", func() bool {
+	go s.loop.post(func() {}) // waits ahead of the list for the first free slot
+	eventually(t, "a blocked post", func() bool {
 		stacks := make([]byte, 1<<20)
 		stacks = stacks[:runtime.Stack(stacks, true)]
 		return regexp.MustCompile(`\[select.*\]:\n.*\(\*loop\)\.post\(`).Match(stacks)
@@ -65,12 +66,12 @@
 	select {
 	case <-ran:
 	case <-time.After(long):
-		t.Fatal("the loop stands still")
+		t.Fatal("the loop is deadlocked")
 	}
 }
 
-// Discovery moves away and back at once, as two SIGHUPs may have it: one follow is left. Two would take the watch
-// from each other for as long as the program runs.
+// The discovery address changes and is restored at once, as by two SIGHUPs in a row. Only one watch must remain: two
+// would replace each other for as long as the program runs.
 func TestDiscoveryAddrChangedAndRestored(t *testing.T) {
 	calls, ended, done := make(chan int, 100), make(chan int, 100), make(chan struct{})
 	defer close(done)
@@ -86,7 +87,7 @@
 	go func() { d.follow(t.Context()); close(firstReturned) }()
 	<-calls
 	if !d.move(listen(t).Addr().String()) || !d.move(addr) {
-		t.Fatal("no move")
+		t.Fatal("move reports that the address did not change")
 	}
 	go d.follow(t.Context())
 	if n := <-calls; n != 1 {
@@ -98,14 +99,14 @@
 	select {
 	case <-firstReturned:
 	case n := <-calls:
-		t.Fatalf("watch %d was begun beside the one that lives", n)
+		t.Fatalf("watch %d was started while the second one is active", n)
 	case <-time.After(long):
-		t.Fatal("the first follow goes on")
+		t.Fatal("the first follow has not returned")
 	}
 }
 
-// heldDeadline is a caller's connection on which a read deadline in the past is held back until the answer is written
-// and the next one is set; where that is not to come, for a moment.
+// delayedDeadlineConn is a client's connection. It delays a read deadline in the past until the response is written and
+// the next read deadline is set, and for at most 20 ms before each of the two.
 type delayedDeadlineConn struct {
 	net.Conn
 	wrote, nextDeadline chan struct{}
@@ -122,7 +123,7 @@
 		for _, event := range []chan struct{}{c.wrote, c.nextDeadline} {
 			select {
 			case <-event:
-			case <-time.After(20 * time.Millisecond): // sound code is only held up by it
+			case <-time.After(20 * time.Millisecond): // correct code is only delayed
 			}
 		}
 	} else if !at.IsZero() {
@@ -131,7 +132,7 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// signal notes that something was seen; once is enough.
+// signal puts a value into the channel unless the channel is full.
 func signal(c chan struct{}) {
 	select {
 	case c <- struct{}{}:
@@ -139,7 +140,7 @@
 	}
 }
 
-// hooked has the sidecar serve its callers through connections made by wrap.
+// withConnWrapper returns a function that makes a sidecar serve its clients through connections returned by wrap.
 func withConnWrapper(wrap func(*net.TCPConn) net.Conn) func(*Sidecar) {
 	return func(s *Sidecar) { s.listener = wrappingListener{s.listener, wrap} }
 }
@@ -157,8 +158,8 @@
 	return l.wrap(c.(*net.TCPConn)), nil
 }
 
-// The read deadline that wakes a caller's goroutine for an answer must not strike the next request on the connection,
-// which may have come behind the first.
+// The read deadline that wakes a connection's goroutine for a response must not abort the reading of the next request,
+// which may have been sent right behind the first.
 func TestResponseWakeupDoesNotAbortNextRequest(t *testing.T) {
 	s, received := serving(t, withConnWrapper(func(c *net.TCPConn) net.Conn {
 		return &delayedDeadlineConn{c, make(chan struct{}, 1), make(chan struct{}, 1)}
@@ -170,36 +171,38 @@
 	}
 	for range 2 {
 		if res, _ := c.answer(t); res.StatusCode != 200 {
-			t.Errorf("status %d after %s", res.StatusCode, <-received)
+			t.Errorf("status %d after request %s", res.StatusCode, <-received)
 		}
 	}
 }
 
-// A client leaves while its request waits: nothing of it is kept, so that nothing can go out when the wait is over.
-// What it had sent behind the request hides its leaving from whoever looks at the next byte only.
+// A client disconnects while its request waits. The request must be dropped, so that nothing is sent when the wait
+// ends. Bytes that the client had sent behind the request hide the disconnect from code that looks only at the next
+// byte.
 func TestDisconnectOfWaitingRequestIsDetected(t *testing.T) {
 	pipelined := "GET /read/x HTTP/1.1\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: next\r\n\r\n"
-	largePipelined := "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: next\r\nContent-Length: 9000\r\n\r\n" + strings.Repeat("x", 9000)
+	largePipelined := "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: next\r\nContent-Length: 9000\r\n\r\n" +
+		strings.Repeat("x", 9000)
 	modes := map[string]func(*net.TCPConn){
 		"closed": func(c *net.TCPConn) { c.Close() },
 		"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		"ended":  func(c *net.TCPConn) { c.CloseWrite() },
 	}
 	for state, prepare := range map[string]func(*testing.T) *waitScenario{
-		"queued": queuedScenario, "dialling": dialingScenario, "between attempts": betweenAttemptsScenario,
+		"queued": queuedScenario, "dialing": dialingScenario, "between attempts": betweenAttemptsScenario,
 	} {
 		for mode, disconnect := range modes {
 			for pipelinedName, text := range map[string]string{"nothing": "", "a request": pipelined, "more than is read": largePipelined} {
 				t.Run(state+"/"+mode+"/"+pipelinedName, func(t *testing.T) {
 					scenario := prepare(t)
-					c := dial(t, scenario.s)
+					c := dial(t, scenario.sidecar)
 					c.id = "left"
 					c.send("GET", "read", "")
 					scenario.awaitWaiting()
 					io.WriteString(c, text)
 					disconnect(c.Conn.(*net.TCPConn))
 					eventually(t, "the end of the request", func() (none bool) {
-						scenario.s.loop.postAndWait(func() { none = len(scenario.s.loop.calls) == 0 })
+						scenario.sidecar.loop.postAndWait(func() { none = len(scenario.sidecar.loop.calls) == 0 })
 						return none
 					})
 					scenario.resume(t)
@@ -209,14 +212,14 @@
 	}
 }
 
-// waiting is a sidecar on which a request waits, and what ends that.
+// waitScenario is a sidecar that is set up so that a request waits.
 type waitScenario struct {
-	s            *Sidecar
-	awaitWaiting func()           // until the request waits
-	resume       func(*testing.T) // lets a further request out, and sees that nothing else went
+	sidecar      *Sidecar
+	awaitWaiting func()           // returns once the request waits
+	resume       func(*testing.T) // ends the wait and checks that nothing but a new request is sent
 }
 
-// patient is the configuration of a sidecar whose read requests wait for longer than a test takes.
+// patient returns the configuration of a sidecar whose read requests may wait for longer than any test takes.
 func patient(t *testing.T, addrs ...string) Config {
 	cfg := config(t, addrs...)
 	c := &cfg.Site.Settings.Classes[0]
@@ -225,17 +228,17 @@
 	return cfg
 }
 
-// told has the sidecar's only endpoint listed in another state, with all that follows done.
+// setServerState lists the sidecar's only endpoint in another state and returns when the loop has applied it.
 func setServerState(s *Sidecar, cfg *Config, state string) {
 	target := cfg.InitialList.Targets[0]
 	target.State = state
 	s.loop.postAndWait(func() { s.loop.updateList(List{Targets: []Target{target}}, forkline.ListDelta) })
 }
 
-// taken waits until the sidecar holds a request for which holds is true.
+// awaitCall waits until the sidecar holds a call that matches.
 func awaitCall(t *testing.T, s *Sidecar, matches func(*call) bool) {
 	t.Helper()
-	eventually(t, "the request that waits", func() (found bool) {
+	eventually(t, "the waiting request", func() (found bool) {
 		s.loop.postAndWait(func() {
 			for _, c := range s.loop.calls {
 				found = found || matches(c)
@@ -245,17 +248,18 @@
 	})
 }
 
-// marks sends a further request and sees that it is the next one at the endpoint.
+// expectOnlyMarker sends a new request and checks that it is the next one that the endpoint receives.
 func expectOnlyMarker(t *testing.T, s *Sidecar, received <-chan string) {
 	t.Helper()
 	c := dial(t, s)
 	c.id = "mark"
 	c.send("GET", "read", "")
 	if id := <-received; id != "mark" {
-		t.Errorf("request %q was sent on though its client had left", id)
+		t.Errorf("request %q was sent although its client had disconnected", id)
 	}
 }
 
+// queuedScenario lists the only endpoint as draining, so that the request is queued.
 func queuedScenario(t *testing.T) *waitScenario {
 	received := make(chan string, 10)
 	cfg := patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
@@ -269,6 +273,8 @@
 	}, func(t *testing.T) { setServerState(s, &cfg, "Ready"); expectOnlyMarker(t, s, received) }}
 }
 
+// betweenAttemptsScenario has the only endpoint reject the first attempt while the list reports that it drains, so that
+// the request waits for a second attempt.
 func betweenAttemptsScenario(t *testing.T) *waitScenario {
 	var s *Sidecar
 	var cfg Config
@@ -292,7 +298,8 @@
 	}}
 }
 
-// crowded is a listener whose backlog is full, so that connections to it do not come up until the filler is closed.
+// listenWithFullBacklog returns a listener whose backlog is full: connections to it are not established until the
+// filler is closed.
 func listenWithFullBacklog(t *testing.T) (ln net.Listener, filler net.Conn) {
 	t.Helper()
 	ln = listen(t)
@@ -304,7 +311,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	filler, err = net.Dial("tcp", ln.Addr().String()) // a backlog of 0 has room for one
+	filler, err = net.Dial("tcp", ln.Addr().String()) // a backlog of 0 has space for one connection
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -312,7 +319,7 @@
 	return ln, filler
 }
 
-// dialling has an endpoint whose backlog is full, so that a connection to it does not come up.
+// dialingScenario has an endpoint whose backlog is full, so that no connection to it is established.
 func dialingScenario(t *testing.T) *waitScenario {
 	ln, _ := listenWithFullBacklog(t)
 	s := start(t, patient(t, ln.Addr().String()))
@@ -322,13 +329,13 @@
 		s.loop.upstream.mu.Lock()
 		defer s.loop.upstream.mu.Unlock()
 		if s.loop.upstream.openConns > 0 {
-			t.Error("the dial goes on")
+			t.Error("the dial was not canceled")
 		}
 	}}
 }
 
-// A second request with an id that is open is turned away just when its client leaves. That must not free the id: a
-// third one would be sent on beside the first.
+// A second request with the id of an open one is rejected just as its client disconnects. That must not release the id:
+// a third request with it would be sent while the first is open.
 func TestDisconnectOfRejectedDuplicateKeepsID(t *testing.T) {
 	cfg := patient(t, "127.0.0.1:1")
 	cfg.InitialList.Targets[0].State = "Terminating"
@@ -340,17 +347,18 @@
 	second := newCall()
 	s.loop.postAndWait(func() { s.loop.accept(newCall()) })
 	s.loop.postAndWait(func() { s.loop.accept(second) })
-	s.loop.postAndWait(func() { s.loop.handleDisconnect(second) }) // its answer and its client cross
+	s.loop.postAndWait(func() { s.loop.handleDisconnect(second) }) // its client disconnects as the response is written
 	s.loop.postAndWait(func() { s.loop.accept(newCall()) })
 	if len(statuses) != 2 || <-statuses != http.StatusConflict || <-statuses != http.StatusConflict {
-		t.Fatal("a request was taken beside one of its id")
+		t.Fatal("a request was accepted while one with the same id is open")
 	}
 	if s.loop.postAndWait(func() { s.loop.abortAll() }); <-statuses != statusRefused {
 		t.Error("the first request was not kept")
 	}
 }
 
-// All is given up while a request waits for the end of its left copy: it is answered too.
+// abortAll runs while a client's retry waits for the end of the original request, whose client has disconnected: the
+// retry must be answered too, as failed, because the original may have run.
 func TestAbortAllAnswersWaitingRetry(t *testing.T) {
 	s := startWithoutDrain(t, echo, nil)
 	statuses := make(chan int, 2)
@@ -365,13 +373,13 @@
 		s.loop.abortAll()
 	})
 	if len(statuses) != 1 || <-statuses != statusFailed {
-		t.Error("it was not answered, or not as one that may have run")
+		t.Error("the retry was not answered exactly once, as failed")
 	}
 }
 
-// A client leaves and asks once more under the same id, on another connection, while the attempt for it is being
-// called off. It is served if that is safe or nothing can have run, and fails otherwise: it must not run twice, and
-// it is not another request's id that it uses.
+// A client disconnects and retries with the same id on another connection while the attempt for the original request is
+// being canceled. The retry is served if the request is safe or cannot have run, and fails otherwise, as the request
+// must not run twice. It is not rejected as a duplicate id.
 func TestClientRetryWhileAttemptIsCanceled(t *testing.T) {
 	for _, c := range []struct {
 		method, class         string
@@ -387,11 +395,14 @@
 		first, second := dial(t, s), dial(t, s)
 		first.send(c.method, c.class, "")
 		eventually(t, "the first attempt", func() bool { return len(received) == 1 })
-		// What ends the attempt is held back until the second request has come.
+		// The original request stays open until the second one has been accepted.
 		var original *call
 		s.loop.postAndWait(func() { original = s.loop.callsByID["id"]; original.openAttempts++ })
 		first.Close()
-		eventually(t, "the client's leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = original.ended }); return ended })
+		eventually(t, "the client's disconnect", func() (ended bool) {
+			s.loop.postAndWait(func() { ended = original.ended })
+			return ended
+		})
 		second.send(c.method, c.class, "")
 		eventually(t, "the second request", func() (waits bool) {
 			s.loop.postAndWait(func() { waits = original.retry != nil })
@@ -408,11 +419,11 @@
 	}
 }
 
-// undrained runs the parts of a sidecar as Run does, for a test that drains it itself.
+// startWithoutDrain runs the parts of a sidecar as Run does, for a test that drains it itself.
 func startWithoutDrain(t *testing.T, respond func(n int, c net.Conn, r *http.Request) bool, configure func(*Sidecar)) *Sidecar {
 	t.Helper()
 	cfg := config(t, script(t, respond).Addr().String())
-	cfg.Site.Settings.Classes[1].Timeout = 60000 // its own time does not end a wait
+	cfg.Site.Settings.Classes[1].Timeout = 60000 // ms; long enough that no wait ends by it
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -433,11 +444,11 @@
 	requestSecondHalf = "X-Request-Id: half\r\n\r\n"
 )
 
-// comesTo sends the first half of a request and waits until the sidecar has it.
+// sendFirstHalf sends the first half of a request and waits until the sidecar is receiving it.
 func sendFirstHalf(t *testing.T, s *Sidecar, c *client) {
 	t.Helper()
 	io.WriteString(c, requestFirstHalf)
-	eventually(t, "the first half", func() bool {
+	eventually(t, "the first half of the request", func() bool {
 		s.front.downstream.mu.Lock()
 		defer s.front.downstream.mu.Unlock()
 		e := s.front.downstream.receiving.Back()
@@ -445,7 +456,7 @@
 	})
 }
 
-// A connection that waits for room when the drain begins holds nothing up: the drain ends in its time.
+// A connection that waits to be admitted when the drain begins must not delay the drain: it ends at its deadline.
 func TestDrainDoesNotWaitForUnadmittedConnection(t *testing.T) {
 	accepted := make(chan struct{}, 2*evictionHeadroom+1)
 	s := startWithoutDrain(t, echo, func(s *Sidecar) {
@@ -464,12 +475,12 @@
 	select {
 	case <-drained:
 	case <-time.After(long):
-		t.Error("the drain waits for a connection that waits for room")
+		t.Error("the drain waits for a connection that has not been admitted")
 	}
 }
 
-// A request that has begun to come when the sidecar closes quiet connections may be whole at any moment, and is taken
-// then: it is waited for and answered.
+// A request that is partly received when the drain closes idle connections may be complete at any time and is accepted
+// then: the drain must wait for it and answer it.
 func TestDrainWaitsForPartialRequest(t *testing.T) {
 	s := startWithoutDrain(t, echo, nil)
 	c := dial(t, s)
@@ -484,8 +495,8 @@
 	<-drained
 }
 
-// lateReader is a caller's connection whose first bytes are handed over late, as on a core that is busy: before they
-// are read, or between that and whatever is done next.
+// delayedReadConn is a client's connection whose reads are delayed, as on a busy core: before the bytes are read, or
+// after that and before Read returns.
 type delayedReadConn struct {
 	*net.TCPConn
 	afterRead       bool
@@ -504,8 +515,8 @@
 	return n, err
 }
 
-// A request that has come, but that nobody has looked at yet, is not closed upon: neither in a drain nor for another
-// caller near the limit.
+// A request that has been received but not read yet must not be dropped by closing its connection, neither in a drain
+// nor by an eviction near the connection limit.
 func TestUnreadRequestIsNotDropped(t *testing.T) {
 	for name, closeIdle := range map[string]func(*downstream){
 		"drain": func(cs *downstream) {
@@ -524,7 +535,7 @@
 		for _, afterRead := range []bool{false, true} {
 			requestTimeout := time.Hour
 			if !afterRead {
-				requestTimeout = time.Nanosecond // its time is up as well
+				requestTimeout = time.Nanosecond // has expired as well
 			}
 			reading, resume := make(chan struct{}, 1), make(chan struct{})
 			s := startWithoutDrain(t, echo, func(s *Sidecar) {
@@ -543,13 +554,14 @@
 			closeIdle(s.front.downstream)
 			close(resume)
 			if res, _ := c.answer(t); res.StatusCode != 200 {
-				t.Errorf("%s, late %v: status %d", name, afterRead, res.StatusCode)
+				t.Errorf("%s, delayed after read %v: status %d", name, afterRead, res.StatusCode)
 			}
 		}
 	}
 }
 
-// Near the limit a request that has begun to come is not evicted for a new client, which waits until there is room.
+// Near the connection limit a connection with a partly received request must not be evicted for a new client, which
+// waits until there is capacity.
 func TestPartialRequestsAreNotEvicted(t *testing.T) {
 	accepted := make(chan struct{}, 2*evictionHeadroom+1)
 	s, _ := serving(t, func(s *Sidecar) {
@@ -574,11 +586,11 @@
 		}
 	}
 	if res, _ := waiting.answer(t); res.StatusCode != 200 {
-		t.Errorf("status %d for the one that waited", res.StatusCode)
+		t.Errorf("status %d for the client that waited", res.StatusCode)
 	}
 }
 
-// closer is a caller's connection that tells when the sidecar ends it, or its side of it.
+// closeNotifyConn is a client's connection that signals when the sidecar closes it or its write side.
 type closeNotifyConn struct {
 	*net.TCPConn
 	closing chan struct{}
@@ -594,8 +606,8 @@
 	return c.TCPConn.CloseWrite()
 }
 
-// A caller sends on behind a request that is its connection's last, and reads slowly: the close, which is a reset with
-// bytes unread, must not overtake the answer.
+// A client sends more data behind the last request of its connection and reads slowly. Closing a connection with unread
+// bytes resets it, and the reset must not overtake the response.
 func TestCloseDoesNotOvertakeLastResponse(t *testing.T) {
 	closing := make(chan struct{}, 1)
 	body := strings.Repeat("x", maxBodyBytes)
@@ -622,7 +634,7 @@
 	}
 }
 
-// acceptor is a listener that holds a connection which it has accepted.
+// pausedListener is a listener that holds each accepted connection until it may resume.
 type pausedListener struct {
 	net.Listener
 	accepted, resume chan struct{}
@@ -637,7 +649,7 @@
 	return c, err
 }
 
-// A connection that is accepted while the listener is closed is served before the program ends.
+// A connection that is accepted while the listener is being closed must be served before the drain ends.
 func TestDrainWaitsForConnectionAcceptedLast(t *testing.T) {
 	ln := pausedListener{accepted: make(chan struct{}, 1), resume: make(chan struct{})}
 	s := startWithoutDrain(t, echo, func(s *Sidecar) { ln.Listener = s.listener; s.listener = ln })
@@ -649,8 +661,8 @@
 	go func() { s.front.downstream.drain(time.Now().Add(long)); close(drained) }()
 	select {
 	case <-drained:
-		t.Error("the program would end with a request that waits")
-	case <-time.After(20 * time.Millisecond): // sound code is only held up by it
+		t.Error("the drain ended while a request was waiting")
+	case <-time.After(20 * time.Millisecond): // correct code is only delayed
 	}
 	close(ln.resume)
 	if res, _ := c.answer(t); res.StatusCode != 200 {
@@ -659,7 +671,8 @@
 	<-drained
 }
 
-// What comes after all has been given up is refused at once: what it would be sent for, nobody could answer any more.
+// A request that arrives after abortAll must be refused at once: the program ends before a response to it could be
+// written.
 func TestRequestsAfterAbortAllAreRefused(t *testing.T) {
 	s, received := serving(t, nil)
 	c := dial(t, s)
@@ -670,8 +683,8 @@
 	}
 }
 
-// Where deadlines are so short that SIGKILL comes soon after connections stop coming, what was taken is still answered
-// before the program ends.
+// Deadlines may be so short that SIGKILL follows soon after the listener is closed. Accepted requests must still be
+// answered before the program ends.
 func TestDrainWithShortDeadlines(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
@@ -685,7 +698,7 @@
 	}
 }
 
-// A request that is sent too slowly keeps nobody out.
+// Connections on which requests arrive too slowly must be evicted for a new client.
 func TestSlowRequestsAreEvicted(t *testing.T) {
 	s, _ := serving(t, func(s *Sidecar) {
 		s.front.downstream.maxConns, s.front.downstream.slowRequestTime = 2*evictionHeadroom, 0
@@ -700,8 +713,8 @@
 	}
 }
 
-// An endpoint in trouble sends an answer twice, the second a little later: it must not become the answer to the next
-// client's request. The connection rests first, and one on which more has come meanwhile is not used again.
+// A faulty endpoint sends a response twice, the second time a little later. The duplicate must not become the response
+// to the next client's request: a connection is reused only after a delay, and not if bytes arrived in the meantime.
 func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	sendDuplicate, sent := make(chan struct{}), make(chan struct{})
 	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
@@ -719,26 +732,26 @@
 	expectResponse := func(want string) {
 		t.Helper()
 		if got, a := attemptOn(u, long); got != forkline.OK || string(a.body) != want {
-			t.Fatalf("outcome %v, answer %v, want that of connection %s", got, a, want)
+			t.Fatalf("outcome %v, response %v, want that of connection %s", got, a, want)
 		}
 	}
 	expectResponse("0")
-	expectResponse("1") // the first has looked sound so far
+	expectResponse("1") // connection 0 has looked sound so far
 	close(sendDuplicate)
 	<-sent
 	idle := u.find(1).idle
-	eventually(t, "the second answer", func() bool { return !stillOpen(idle[0].Conn) })
+	eventually(t, "the duplicate response", func() bool { return !stillOpen(idle[0].Conn) })
 	u.reuseDelay = 0
 	expectResponse("1")
 	slices.Reverse(idle)
 	expectResponse("1")
 	if u.openConns != 1 {
-		t.Errorf("%d connections are kept, want the sound one", u.openConns)
+		t.Errorf("%d connections are kept, want only the sound one", u.openConns)
 	}
 }
 
-// The last byte of an unsafe request waits for a moment. A second answer that comes on a used connection by then is
-// none to this request: it goes on another connection, and nothing has run.
+// The last byte of an unsafe request is held back briefly. A response that arrives on a reused connection before it is
+// sent is a duplicate of an earlier one. The request cannot have run, so it must be sent on another connection.
 func TestDuplicateResponseDuringUnsafeRequest(t *testing.T) {
 	ln := listen(t)
 	go func() {
@@ -751,7 +764,7 @@
 			r := bufio.NewReader(c)
 			text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
 			if n > 0 {
-				io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // ends the look for a break
+				io.WriteString(c, "HTTP/1.1 100 Continue\r\n\r\n") // ends the check for a broken connection
 			}
 			if _, err := http.ReadRequest(r); err != nil {
 				t.Error(err)
@@ -772,11 +785,11 @@
 	outgoing.atMostOnce = true
 	got, a := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(long))
 	if got != forkline.OK || string(a.body) != "1" {
-		t.Errorf("outcome %v, answer %v, want that of the second connection", got, a)
+		t.Errorf("outcome %v, response %v, want that of the second connection", got, a)
 	}
 }
 
-// Lists may come indented, several on a line, and with braces in their strings.
+// Lists may be indented, share a line and contain braces in strings.
 func TestWatchAcceptsAnyJSONLayout(t *testing.T) {
 	lists := make(chan List, 10)
 	d := &discovery{policy: unhurried(long), onList: func(l List) { lists <- l }, onFailed: func() {}}
@@ -798,12 +811,12 @@
 	}
 }
 
-// A watch that is answered but then says nothing is dead as soon as one that fell silent later: before its first
-// object, within one, and also while bytes of one trickle in.
+// A watch that is answered but then delivers no object must time out after the same silence as a later one: before the
+// first object, within it, and also while its bytes trickle in.
 func TestWatchSilentFromTheStart(t *testing.T) {
 	for name, respond := range map[string]func(net.Conn){
 		"before the first object": func(net.Conn) {},
-		"within one":              func(c net.Conn) { io.WriteString(c, "{\n\"rev\":") },
+		"within an object":        func(c net.Conn) { io.WriteString(c, "{\n\"rev\":") },
 		"trickling": func(c net.Conn) {
 			for c.SetWriteDeadline(time.Now().Add(2 * long)); ; time.Sleep(time.Millisecond) {
 				if _, err := io.WriteString(c, "{\n"); err != nil {
@@ -825,24 +838,24 @@
 		select {
 		case <-ended:
 		case <-time.After(long):
-			t.Errorf("%s: the watch is held for alive", name)
+			t.Errorf("%s: the watch did not time out", name)
 		}
 		close(done)
 	}
 }
 
-// What is missed by a silent watch counts as told 6 s after: by then it has to be noticed, the module's first back-off
-// has to be over, and a call answered.
+// Changes that a silent watch misses must be received within 6 s: by then the silence must have been detected, the
+// module's first back-off must be over and a new call must have been answered.
 func TestSilenceTimeoutLeavesTimeToRetry(t *testing.T) {
 	const limit, backOff, callTime = 6 * time.Second, 1500 * time.Millisecond, 500 * time.Millisecond
 	p := listwatch.PollPolicy
 	if p.SilenceTimeout+backOff+callTime > limit || p.SoftTimeout+backOff+callTime > limit {
-		t.Errorf("silence shows after %v and %v", p.SilenceTimeout, p.SoftTimeout)
+		t.Errorf("silence timeout %v and soft timeout %v leave too little time", p.SilenceTimeout, p.SoftTimeout)
 	}
 }
 
-// A new process has an old list, and the agent knows of a drain since: what is asked for before its first word must not
-// go to the server that drains. With no word at all the old list has to do.
+// A new process starts with a cached list, and discovery knows that a server has drained since. Requests that arrive
+// before its first message must not go to that server. If discovery stays silent, the cached list is used.
 func TestCachedListWaitsForDiscovery(t *testing.T) {
 	for silent, want := range map[bool]string{false: "other", true: "either"} {
 		received, sendList, done := make(chan string, 10), make(chan struct{}), make(chan struct{})
@@ -853,7 +866,7 @@
 			}).Addr().String()
 		}
 		cfg := config(t, newServer("draining"), newServer("other"))
-		cfg.Site.Settings.Limits.ConnectTimeout = float64(long.Milliseconds()) // also on a busy machine
+		cfg.Site.Settings.Limits.ConnectTimeout = float64(long.Milliseconds()) // long enough on a busy machine
 		cfg.Site.Settings.Classes[0].Timeout, cfg.Site.Settings.Classes[0].TargetLatency = 20000, 20000
 		draining := cfg.InitialList.Targets[0]
 		draining.State = "Terminating"
@@ -878,7 +891,7 @@
 			clients[i].send("GET", "read", "")
 		}
 		if !silent {
-			eventually(t, "requests that wait", func() (allWait bool) {
+			eventually(t, "the waiting requests", func() (allWait bool) {
 				s.loop.postAndWait(func() { allWait = len(s.loop.calls) == len(clients) })
 				return allWait
 			})
@@ -891,7 +904,7 @@
 		}
 		for range clients {
 			if name := <-received; want == "other" && name != want {
-				t.Errorf("a request went to the server that drains")
+				t.Errorf("a request was sent to the draining server")
 			}
 		}
 		s.discovery.move(nowhere())
@@ -900,8 +913,8 @@
 	}
 }
 
-// Discovery moves to where nothing answers: the watch on the old address is listened to on, and the failure is told, so
-// that the module asks again.
+// The discovery address changes to one that refuses connections. The watch on the old address must stay in use, and the
+// failure must be reported so that the module retries.
 func TestFailedAddrChangeKeepsOldWatch(t *testing.T) {
 	send, revs, failed := make(chan int64), make(chan int64, 10), make(chan struct{}, 10)
 	d := &discovery{policy: unhurried(long), rev: 1, onList: func(l List) { revs <- l.Rev }, onFailed: func() { failed <- struct{}{} }}
@@ -924,7 +937,7 @@
 	<-failed
 	send <- 3
 	if rev := <-revs; rev != 3 {
-		t.Errorf("version %d after the failed move", rev)
+		t.Errorf("version %d after the failed address change", rev)
 	}
 	close(send)
 }
