--- a/internal/sidecar/leaving_test.go
+++ b/internal/sidecar/leaving_test.go
@@ -15,10 +15,10 @@
 	"forkline"
 )
 
-// Tests of clients that leave. In each the loop is kept busy while a client leaves, as on a core that is short or with
-// its mail full: it decides on what waited for it before it hears of the leaving. No attempt may begin all the same.
+// Tests of clients that disconnect while the loop is busy, as on an overloaded core or with its queue full. The loop
+// then handles the events that were queued before the disconnect without knowing of it. No attempt may start even so.
 
-// seize has the loop busy, once it has done what is in its mail, until it is freed.
+// occupyLoop blocks the loop from when it has run what is in its queue until release is called.
 func occupyLoop(s *Sidecar) *occupiedLoop {
 	o := &occupiedLoop{s, make(chan func()), make(chan struct{})}
 	s.loop.post(func() {
@@ -30,21 +30,21 @@
 	return o
 }
 
-// seized is a loop that does only what its test gives it.
+// occupiedLoop is a blocked loop that runs only the functions passed to do.
 type occupiedLoop struct {
-	s    *Sidecar
-	work chan func()
-	done chan struct{}
+	sidecar *Sidecar
+	work    chan func()
+	done    chan struct{}
 }
 
 func (o *occupiedLoop) do(f func()) { o.work <- f; <-o.done }
 func (o *occupiedLoop) release()    { close(o.work) }
 
-// settle waits until every attempt that the loop knows of is over.
+// awaitAttempts waits until every attempt that the loop knows of has ended.
 func (o *occupiedLoop) awaitAttempts() {
 	var attempts []*attempt
 	o.do(func() {
-		for _, c := range o.s.loop.calls {
+		for _, c := range o.sidecar.loop.calls {
 			attempts = append(attempts, c.attempts...)
 		}
 	})
@@ -53,14 +53,14 @@
 	}
 }
 
-// leaver is a client together with the sidecar's end of its connection.
+// trackedClient is a client together with the sidecar's end of its connection.
 type trackedClient struct {
 	*client
 	serverConn *net.TCPConn
 }
 
-// watched runs a sidecar that serves its callers through connections which the test can look at, and returns what
-// makes a client of it.
+// startTracked runs a sidecar whose ends of the client connections are available to the test. It returns the sidecar
+// and a function that connects a client, whose requests have the given id.
 func startTracked(t *testing.T, cfg Config, configure func(*Sidecar)) (*Sidecar, func(id string) trackedClient) {
 	t.Helper()
 	s, err := New(cfg)
@@ -87,7 +87,7 @@
 	}
 }
 
-// leaves has the client leave, and waits until the sidecar's machine knows.
+// disconnect ends the client's connection and waits until the sidecar's kernel has seen that.
 func (c trackedClient) disconnect(t *testing.T, how func(*net.TCPConn)) {
 	t.Helper()
 	how(c.Conn.(*net.TCPConn))
@@ -103,24 +103,24 @@
 
 func closeConn(c *net.TCPConn) { c.Close() }
 
-// leavings are the ways to leave.
+// disconnectModes are the ways in which a client disconnects.
 var disconnectModes = map[string]func(*net.TCPConn){
 	"closed": closeConn,
 	"reset":  func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 	"ended":  func(c *net.TCPConn) { c.CloseWrite() },
 }
 
-// mailed waits until something is in the loop's mail.
+// awaitQueuedEvent waits until something is in the loop's queue.
 func awaitQueuedEvent(t *testing.T, s *Sidecar) {
 	t.Helper()
-	eventually(t, "the loop's mail", func() bool { return len(s.loop.queue) > 0 })
+	eventually(t, "an event in the loop's queue", func() bool { return len(s.loop.queue) > 0 })
 }
 
-// forgets sees that nothing is kept of those that left, that the next request to come out is a further one, and that
-// it is served.
+// expectNothingKept checks that no state remains of requests whose clients have disconnected, that a new request is
+// served, and that it is the next one that the endpoint receives.
 func expectNothingKept(t *testing.T, s *Sidecar, received <-chan string) {
 	t.Helper()
-	eventually(t, "the end of all that was kept", func() (none bool) {
+	eventually(t, "the release of all requests", func() (none bool) {
 		s.loop.postAndWait(func() { none = len(s.loop.calls)+len(s.loop.callsByID)+len(s.loop.pendingRetries) == 0 })
 		return none
 	})
@@ -128,14 +128,14 @@
 	c.id = "mark"
 	c.send("GET", "read", "")
 	if res, _ := c.answer(t); res.StatusCode != 200 {
-		t.Errorf("status %d for a further request", res.StatusCode)
+		t.Errorf("status %d for a new request", res.StatusCode)
 	}
 	if id := <-received; id != "mark" {
-		t.Errorf("request %q was sent on though its client had left", id)
+		t.Errorf("request %q was sent although its client had disconnected", id)
 	}
 }
 
-// noting serves every request and notes its id.
+// recordingServer starts an endpoint that serves every request. It returns its address and the ids of the requests.
 func recordingServer(t *testing.T) (string, chan string) {
 	received := make(chan string, 100)
 	return script(t, func(n int, c net.Conn, r *http.Request) bool {
@@ -144,7 +144,7 @@
 	}).Addr().String(), received
 }
 
-// The client leaves while its request is in the loop's mail.
+// The client disconnects while its request is in the loop's queue.
 func TestDisconnectBeforeLoopAcceptsRequest(t *testing.T) {
 	for mode, how := range disconnectModes {
 		t.Run(mode, func(t *testing.T) {
@@ -154,7 +154,7 @@
 			c := connect("left")
 			c.send("GET", "read", "")
 			awaitQueuedEvent(t, s)
-			reoccupied := occupyLoop(s) // ahead of the news
+			reoccupied := occupyLoop(s) // queued ahead of the disconnect
 			c.disconnect(t, how)
 			occupied.release()
 			reoccupied.awaitAttempts()
@@ -164,12 +164,12 @@
 	}
 }
 
-// The client leaves while its request is queued. What it had sent behind the request may hide that.
+// The client disconnects while its request is queued. Bytes that it had sent behind the request may hide that.
 func TestDisconnectWhileQueued(t *testing.T) {
 	for mode, how := range disconnectModes {
 		for pipelined, n := range map[string]int{"nothing": 0, "a little": 9, "more than is read": 9000} {
 			for _, fullQueue := range []bool{false, true} {
-				t.Run(fmt.Sprint(mode, "/", pipelined, "/full ", fullQueue), func(t *testing.T) {
+				t.Run(fmt.Sprint(mode, "/", pipelined, "/full queue ", fullQueue), func(t *testing.T) {
 					addr, received := recordingServer(t)
 					cfg := patient(t, addr)
 					cfg.InitialList.Targets[0].State = "Terminating"
@@ -197,8 +197,8 @@
 	}
 }
 
-// Client after client leaves just before its request is sent. The module must not count those attempts as open for
-// good: a further request finds room.
+// Clients disconnect one after another just before their requests are sent. The module must not count those attempts as
+// open forever: the limit on open attempts would then leave no capacity for a new request.
 func TestManyDisconnectsWhileQueued(t *testing.T) {
 	addr, received := recordingServer(t)
 	cfg := patient(t, addr)
@@ -206,7 +206,7 @@
 	s, connect := startTracked(t, cfg, nil)
 	for startedAttempts, end := 0, time.Now().Add(long); startedAttempts < 50; {
 		if time.Now().After(end) {
-			t.Fatalf("no more than %d attempts are decided on", startedAttempts)
+			t.Fatalf("the module started only %d attempts", startedAttempts)
 		}
 		setServerState(s, &cfg, "Terminating")
 		c := connect("left")
@@ -232,10 +232,12 @@
 	expectNothingKept(t, s, received)
 }
 
-// The client leaves while a connection for its request comes up late.
+// The client disconnects while the connection for its request is slow to be established.
 func TestDisconnectWhileDialing(t *testing.T) {
 	ln, filler := listenWithFullBacklog(t)
-	s, connect := startTracked(t, patient(t, ln.Addr().String()), func(s *Sidecar) { s.loop.upstream.firstByteTimeout = 0 }) // else it is late
+	s, connect := startTracked(t, patient(t, ln.Addr().String()), func(s *Sidecar) {
+		s.loop.upstream.firstByteTimeout = 0 // or the attempt would be too late
+	})
 	c := connect("left")
 	c.send("GET", "read", "")
 	awaitCall(t, s, func(c *call) bool { return c.openAttempts == 1 })
@@ -267,7 +269,7 @@
 	expectNothingKept(t, s, received)
 }
 
-// The client of a request that must not run twice leaves while all but its last byte is out.
+// The client of a request that must not run twice disconnects when all of the request but its last byte is written.
 func TestDisconnectBeforeLastByte(t *testing.T) {
 	ln, started, resume, received := listen(t), make(chan struct{}, 10), make(chan struct{}), make(chan string, 10)
 	go func() {
@@ -284,7 +286,7 @@
 				}
 				started <- struct{}{}
 				<-resume
-				io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n") // ends the look for a break
+				io.WriteString(conn, "HTTP/1.1 100 Continue\r\n\r\n") // ends the check for a broken connection
 				req, err := http.ReadRequest(r)
 				if err != nil {
 					return
@@ -308,7 +310,7 @@
 	expectNothingKept(t, s, received)
 }
 
-// The client leaves between two attempts: what the first one ended with is in the loop's mail.
+// The client disconnects between two attempts, while the outcome of the first one is in the loop's queue.
 func TestDisconnectBetweenAttempts(t *testing.T) {
 	for mode, how := range disconnectModes {
 		t.Run(mode, func(t *testing.T) {
@@ -329,7 +331,7 @@
 			close(reject)
 			occupied.awaitAttempts()
 			awaitQueuedEvent(t, s)
-			reoccupied := occupyLoop(s) // ahead of the news
+			reoccupied := occupyLoop(s) // queued ahead of the disconnect
 			c.disconnect(t, how)
 			occupied.release()
 			reoccupied.awaitAttempts()
@@ -339,30 +341,30 @@
 	}
 }
 
-// The client leaves while its request waits for the end of an earlier copy of it, just as that comes.
+// The client disconnects while its retry waits for the end of the original request, just as that ends.
 func TestDisconnectOfRetryAsOriginalEnds(t *testing.T) {
 	received, release := make(chan string, 10), make(chan struct{})
 	s, connect := startTracked(t, patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
 		if received <- r.Header.Get("X-Request-Id"); n == 0 {
-			<-release // until the first attempt is called off
+			<-release // until the first attempt is canceled
 		}
 		return echo(n, c, r)
 	}).Addr().String()), nil)
 	defer close(release)
 	original, retry := startRetry(t, s, connect, func() bool { return len(received) == 1 })
 	occupied := occupyLoop(s)
-	reoccupied := occupyLoop(s) // ahead of the news
+	reoccupied := occupyLoop(s) // queued ahead of the disconnect
 	retry.disconnect(t, closeConn)
 	occupied.do(func() { original.openAttempts--; s.loop.release(original) })
 	occupied.release()
 	reoccupied.awaitAttempts()
 	reoccupied.release()
-	<-received // the first copy
+	<-received // the original request
 	expectNothingKept(t, s, received)
 }
 
-// copies has a client leave while its request is out, and another one ask for the same. What ends the attempt of the
-// first one is held back until the test lowers old.open.
+// startRetry has a client disconnect while its request is open and another connection send the same request. The
+// original request stays open until the test decrements original.openAttempts and releases it.
 func startRetry(t *testing.T, s *Sidecar, connect func(string) trackedClient, sent func() bool) (original *call, retry trackedClient) {
 	t.Helper()
 	first := connect("copy")
@@ -371,18 +373,22 @@
 	eventually(t, "the first attempt", sent)
 	s.loop.postAndWait(func() { original = s.loop.callsByID["copy"]; original.openAttempts++ })
 	first.disconnect(t, closeConn)
-	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = original.ended }); return ended })
+	eventually(t, "the disconnect", func() (ended bool) { s.loop.postAndWait(func() { ended = original.ended }); return ended })
 	retry.send("GET", "read", "")
-	eventually(t, "the second copy", func() (waiting bool) { s.loop.postAndWait(func() { waiting = original.retry != nil }); return waiting })
+	eventually(t, "the waiting retry", func() (waiting bool) {
+		s.loop.postAndWait(func() { waiting = original.retry != nil })
+		return waiting
+	})
 	return original, retry
 }
 
-// A client that leaves while its request waits for an earlier copy makes room for a third one: none of them is open.
+// A client disconnects while its retry waits for the end of the original request. A second retry must take its place
+// and be served: it must not be rejected as a duplicate, as the clients of the other two have disconnected.
 func TestSecondRetryIsServed(t *testing.T) {
 	received, release := make(chan string, 10), make(chan struct{})
 	s, connect := startTracked(t, patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
 		if received <- r.Header.Get("X-Request-Id"); n == 0 {
-			<-release // until the first attempt is called off
+			<-release // until the first attempt is canceled
 		}
 		return echo(n, c, r)
 	}).Addr().String()), nil)
@@ -391,7 +397,7 @@
 	var retryCall *call
 	s.loop.postAndWait(func() { retryCall = original.retry })
 	retry.disconnect(t, closeConn)
-	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = retryCall.ended }); return ended })
+	eventually(t, "the disconnect", func() (ended bool) { s.loop.postAndWait(func() { ended = retryCall.ended }); return ended })
 	secondRetry := connect("copy")
 	secondRetry.send("GET", "read", "")
 	answered := make(chan int, 1)
@@ -401,7 +407,7 @@
 		}
 		close(answered)
 	}()
-	eventually(t, "the third copy", func() (accepted bool) {
+	eventually(t, "the second retry", func() (accepted bool) {
 		s.loop.postAndWait(func() { accepted = original.retry != retryCall || len(answered) > 0 })
 		return accepted
 	})
@@ -411,7 +417,7 @@
 	}
 }
 
-// writes is a connection that notes what is written to it, and how often.
+// writeRecorder is a connection that records what is written to it and calls onWrite after each write.
 type writeRecorder struct {
 	net.Conn
 	buf     bytes.Buffer
@@ -423,10 +429,11 @@
 	return c.buf.Write(b)
 }
 
-// A request that is too long to be written at once goes without its last byte if its client leaves meanwhile, and one
-// whose client has left before is not begun and leaves its connection as it was. Neither can have run.
+// If the client disconnects while a request that is too long for a single write is being written, the last byte must
+// not be written. If it disconnects before, nothing must be written and the connection stays reusable. Neither request
+// can have run.
 func TestDisconnectDuringLongWrite(t *testing.T) {
-	for name, disconnectAfter := range map[string]int{"before it is begun": 0, "ahead of its last byte": 1} {
+	for name, disconnectAfter := range map[string]int{"before the first byte": 0, "before the last byte": 1} {
 		remote, local := net.Pipe()
 		defer remote.Close()
 		defer local.Close()
@@ -438,19 +445,19 @@
 		outgoing.body = bytes.Repeat([]byte("x"), maxBodyBytes)
 		got, resp, reusable := exchange(a, &conn{Conn: w, reader: bufio.NewReader(w)}, outgoing, time.Now().Add(long), 0)
 		if got != forkline.NotSent || resp != nil || reusable != (disconnectAfter == 0) || written != disconnectAfter {
-			t.Errorf("%s: outcome %v, keep %v after %d writes", name, got, reusable, written)
+			t.Errorf("%s: outcome %v, reusable %v after %d writes", name, got, reusable, written)
 		}
 		if _, err := http.ReadRequest(bufio.NewReader(&w.buf)); disconnectAfter > 0 && err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 		if n := w.buf.Len(); disconnectAfter > 0 && n >= maxBodyBytes {
-			t.Errorf("%s: all of the body is out", name)
+			t.Errorf("%s: the entire body was written", name)
 		}
 	}
 }
 
-// A request takes the id of one whose client has left and one that waits for it may have left as well, before the
-// loop has heard of either.
+// A request must be able to reuse the id of a request whose client has disconnected, and to replace a retry that waits
+// under that id and whose client has disconnected too, even before the loop is notified of either disconnect.
 func TestIDOfDisconnectedRequestIsReusable(t *testing.T) {
 	cfg := patient(t, "127.0.0.1:1")
 	cfg.InitialList.Targets[0].State = "Terminating"
@@ -469,23 +476,23 @@
 		third, _ := newCall()
 		s.loop.accept(first)
 		*firstGone = true
-		first.openAttempts++ // an attempt is out
+		first.openAttempts++ // an attempt is open
 		s.loop.accept(second)
 		if !first.ended || first.retry != second {
-			t.Error("the second does not wait for the end of the first")
+			t.Error("the second request does not wait for the end of the first")
 		}
 		*secondGone = true
 		s.loop.accept(third)
 		if !second.ended || first.retry != third {
-			t.Error("the third does not wait for the end of the first")
+			t.Error("the third request does not wait for the end of the first")
 		}
-		s.loop.handleDisconnect(first) // the news
+		s.loop.handleDisconnect(first) // the late notifications
 		s.loop.handleDisconnect(second)
 		first.openAttempts--
 		s.loop.release(first)
 		s.loop.runDue()
 		if s.loop.callsByID["id"] != third || third.ended || len(s.loop.calls) != 1 {
-			t.Error("the third is not taken")
+			t.Error("the third request is not accepted")
 		}
 	})
 	if len(statuses) > 0 {
@@ -493,8 +500,8 @@
 	}
 }
 
-// A request that has come in time, but that nobody had the core to look at before its connection had been quiet for too
-// long, is not closed upon.
+// A request that arrives in time must be served even if the sidecar gets no core to read it until after the request
+// timeout of its connection.
 func TestRequestAtRequestTimeoutIsServed(t *testing.T) {
 	reading, resume := make(chan struct{}, 1), make(chan struct{})
 	s := startWithoutDrain(t, echo, func(s *Sidecar) {
@@ -516,20 +523,20 @@
 	}
 }
 
-// Bad clients are owed an error or a close within 3 s of connecting, whatever they send or leave out.
+// Bad clients must get an error or a close within 3 s of connecting, whatever they send or leave out.
 func TestBadClientsAreClosedInTime(t *testing.T) {
 	const limit, schedulingDelay = 3 * time.Second, 250 * time.Millisecond
 	if longest := defaultRequestTimeout + lingerTimeout + schedulingDelay; longest > limit {
-		t.Errorf("a connection may stay for %v", longest)
+		t.Errorf("a connection may stay open for %v", longest)
 	}
 }
 
-// An idle connection that an attempt took but did not use is not kept as if just used: its endpoint may drop it any
-// time, as it has not heard of it for longer than it looks.
+// An idle connection that an attempt took but wrote nothing to must not be kept as if it had just been used. Its
+// endpoint has seen it idle for longer than its new idle time would show and may close it at any time.
 func TestUnusedIdleConnectionIsNotKept(t *testing.T) {
 	for name, change := range map[string]func(*attempt){
-		"client left": func(a *attempt) { a.clientDisconnected = func() bool { return true } },
-		"late":        func(a *attempt) { a.firstByteBy = time.Now().Add(-time.Second) },
+		"client disconnected": func(a *attempt) { a.clientDisconnected = func() bool { return true } },
+		"late":                func(a *attempt) { a.firstByteBy = time.Now().Add(-time.Second) },
 	} {
 		addr, received := recordingServer(t)
 		u := pool(addr, 4)
@@ -546,7 +553,8 @@
 	}
 }
 
-// slowCaller is a caller's connection on which the time to take an answer has passed whenever more is waited for.
+// expiredWriteDeadlineConn is a client's connection whose write deadline, once one was set, has expired whenever a read
+// deadline is set, as if the time to write the last response had passed.
 type expiredWriteDeadlineConn struct {
 	*net.TCPConn
 	responded bool
@@ -564,7 +572,8 @@
 	return c.TCPConn.SetReadDeadline(at)
 }
 
-// A caller that waits for leave to send its body gets it as well on a connection that it has used before.
+// A client that sends Expect: 100-continue must get the interim response on a reused connection as well: the write
+// deadline of the previous response may have passed by then.
 func TestExpectContinueOnReusedConnection(t *testing.T) {
 	s := startWithoutDrain(t, echo, func(s *Sidecar) {
 		withConnWrapper(func(c *net.TCPConn) net.Conn { return &expiredWriteDeadlineConn{TCPConn: c} })(s)
@@ -585,13 +594,14 @@
 	}
 }
 
-// An answer that is reset on its way is no answer, whatever has come of it and however its end would be told.
+// A response that breaks off with a reset must not count as a response, whatever part of it was received and however
+// its end is marked.
 func TestResetIsNotEndOfResponse(t *testing.T) {
 	for name, text := range map[string]string{
 		"nothing yet": "", "no length": "HTTP/1.1 200 OK\r\n\r\nhi", "in the head": "HTTP/1.1 200 OK\r\nCont",
 		"in the body":    "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhi",
 		"in a chunk":     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhi",
-		"between two":    "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
+		"between chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
 		"half a refusal": "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 5\r\n\r\n",
 	} {
 		ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
@@ -600,7 +610,7 @@
 			return false
 		})
 		if got, a := attemptOn(pool(ln.Addr().String(), 4), long); got != forkline.Reset || a != nil {
-			t.Errorf("%s: outcome %v, answer %v", name, got, a)
+			t.Errorf("%s: outcome %v, response %v", name, got, a)
 		}
 	}
 }
