--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -15,9 +15,9 @@
 	"forkline"
 )
 
-// Tests of settings that change in a running sidecar.
+// Tests of settings that are reloaded in a running sidecar.
 
-// edited is a configuration with an edit to its settings; the one given stays as it is.
+// withSettings returns a copy of a configuration with edited settings.
 func withSettings(cfg Config, edit func(*forkline.Settings)) Config {
 	set := &cfg.Site.Settings
 	set.Classes, set.Tenants = slices.Clone(set.Classes), slices.Clone(set.Tenants)
@@ -25,7 +25,7 @@
 	return cfg
 }
 
-// reload puts an edit in force.
+// reloadSettings applies edited settings to the sidecar and returns the new configuration.
 func reloadSettings(t *testing.T, s *Sidecar, cfg Config, edit func(*forkline.Settings)) Config {
 	t.Helper()
 	cfg = withSettings(cfg, edit)
@@ -35,11 +35,11 @@
 	return cfg
 }
 
-// gated is an endpoint that answers a request named held only when it is let, and breaks it off where that says so.
+// gatedServer is an endpoint that holds each request whose id begins with "held" until the test releases it.
 type gatedServer struct {
 	addr     string
-	received chan string
-	release  chan bool // whether the held one is answered
+	received chan string // the ids of all requests, as they arrive
+	release  chan bool   // releases one held request: true answers it, false closes its connection
 }
 
 func newGatedServer(t *testing.T) *gatedServer {
@@ -59,14 +59,14 @@
 	select {
 	case got := <-g.received:
 		if got != id {
-			t.Fatalf("request %q came, want %q", got, id)
+			t.Fatalf("received request %q, want %q", got, id)
 		}
 	case <-time.After(long):
-		t.Fatalf("request %q did not come", id)
+		t.Fatalf("request %q was not received", id)
 	}
 }
 
-// ask sends one request on a connection of its own.
+// sendRequest sends one request on a new connection.
 func sendRequest(t *testing.T, s *Sidecar, id, method, class string, headers ...string) *client {
 	t.Helper()
 	c := dial(t, s)
@@ -81,7 +81,8 @@
 	return res.StatusCode
 }
 
-// A class that was unknown is served, one that is gone is not found, and what is out meanwhile is answered.
+// After a reload a new class must be served and a removed one must not be found. A request that was open during the
+// reload must still be answered.
 func TestReloadClasses(t *testing.T) {
 	server := newGatedServer(t)
 	cfg := patient(t, server.addr)
@@ -91,9 +92,9 @@
 	if status := sendRequest(t, s, "new", "GET", "new").readStatus(t); status != 404 {
 		t.Errorf("status %d before the class is known", status)
 	}
-	reused := dial(t, s) // a connection from before goes on
+	reused := dial(t, s) // a connection from before the reload stays usable
 	reloadSettings(t, s, cfg, func(set *forkline.Settings) {
-		set.Classes[0].Name = "new" // and read is gone
+		set.Classes[0].Name = "new" // this removes class read
 		slices.Reverse(set.Classes)
 	})
 	reused.id = "kept"
@@ -102,11 +103,11 @@
 		t.Errorf("status %d of the new class", status)
 	}
 	if status := sendRequest(t, s, "gone", "GET", "read").readStatus(t); status != 404 {
-		t.Errorf("status %d of the class that is gone", status)
+		t.Errorf("status %d of the removed class", status)
 	}
 	server.release <- true
 	if status := held.readStatus(t); status != 200 {
-		t.Errorf("status %d of the request that was out", status)
+		t.Errorf("status %d of the request that was open", status)
 	}
 	s.loop.postAndWait(func() {
 		if len(s.loop.calls) != 0 || len(s.loop.callsByID) != 0 {
@@ -115,7 +116,8 @@
 	})
 }
 
-// A long deadline that is short now ends a request in time: it would wait for longer than this test by the old one.
+// After a reload that shortens a class's timeout, a request must end by the new one. By the old one it would wait for
+// longer than this test.
 func TestReloadTimeout(t *testing.T) {
 	server := newGatedServer(t)
 	cfg := patient(t, server.addr)
@@ -124,9 +126,9 @@
 		set.Classes[0].TargetLatency, set.Classes[0].Timeout = 100, 200
 		set.Limits.ConnectTimeout, set.Safety.DrainGrace, set.Limits.SendRetryAfter = 77, 1000, false
 	})
-	s.loop.postAndWait(func() { // the figures of connections and of the loop's own refusals are put in force with it
+	s.loop.postAndWait(func() { // limits of connections and of the loop's own refusals apply as well
 		if u := s.loop.upstream; u.dialTimeout != 77*time.Millisecond || u.firstByteTimeout != 600*time.Millisecond || s.loop.retryAfter != 0 {
-			t.Errorf("dials for %v, begins within %v, clients come back after %v", u.dialTimeout, u.firstByteTimeout, s.loop.retryAfter)
+			t.Errorf("dial timeout %v, first byte timeout %v, Retry-After %v", u.dialTimeout, u.firstByteTimeout, s.loop.retryAfter)
 		}
 	})
 	if status := sendRequest(t, s, "held", "GET", "read").readStatus(t); status != statusRefused && status != statusFailed {
@@ -135,19 +137,19 @@
 	server.release <- false
 }
 
-// A quota that is used up turns away at once what would otherwise wait.
+// After a reload that adds a quota, a request beyond the quota must be refused at once instead of waiting.
 func TestReloadQuota(t *testing.T) {
 	server := newGatedServer(t)
 	cfg := patient(t, server.addr)
 	s := start(t, cfg)
-	for _, id := range []string{"held1", "held2", "held3", "held4", "held5"} { // all that a copy has out at its start
+	for _, id := range []string{"held1", "held2", "held3", "held4", "held5"} { // as many as a copy may have open at its start
 		sendRequest(t, s, id, "GET", "read")
 		server.awaitRequest(t, id)
 	}
 	reloadSettings(t, s, cfg, func(set *forkline.Settings) {
 		set.Tenants, set.OverQuotaValue = []forkline.Tenant{{Name: "small", Quota: 1e-6}}, 0
 	})
-	sendRequest(t, s, "waits", "GET", "read", "X-Tenant: small") // the one that the bucket holds
+	sendRequest(t, s, "waits", "GET", "read", "X-Tenant: small") // the one request that the token bucket allows
 	awaitCall(t, s, func(c *call) bool { return c.id == "waits" })
 	if status := sendRequest(t, s, "over", "GET", "read", "X-Tenant: small").readStatus(t); status != statusRefused {
 		t.Errorf("status %d beyond the quota", status)
@@ -157,7 +159,7 @@
 	}
 }
 
-// A request that may have run is not sent again if its class is unsafe in either file.
+// A request that may have run must not be sent again if its class is unsafe in the old or in the new settings.
 func TestReloadEffectOfOpenRequest(t *testing.T) {
 	for name, c := range map[string]struct {
 		method, class string
@@ -176,20 +178,21 @@
 			reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[c.index].Effect = c.effect })
 			s.loop.postAndWait(func() {
 				if openCall := s.loop.callsByID["held"]; openCall.safe || !openCall.outgoing.atMostOnce {
-					t.Errorf("safe %v, must run once %v", openCall.safe, openCall.outgoing.atMostOnce)
+					t.Errorf("safe %v, at most once %v", openCall.safe, openCall.outgoing.atMostOnce)
 				}
 			})
 			added := List{Targets: []Target{{UID: "more", Endpoint: other.addr, Zone: "z", State: "Ready"}}}
 			s.loop.postAndWait(func() { s.loop.updateList(added, forkline.ListDelta) })
 			server.release <- false
 			if status := open.readStatus(t); status != statusFailed || len(server.received)+len(other.received) > 0 {
-				t.Errorf("status %d, %d further sends", status, len(server.received)+len(other.received))
+				t.Errorf("status %d, %d more sends", status, len(server.received)+len(other.received))
 			}
 		})
 	}
 }
 
-// A request that comes again while its first copy is called off may not run if that copy was of an unsafe class.
+// A client retries a request while the original is being canceled, and in between a reload makes the class safe. The
+// retry must not run, because the original was of an unsafe class and may have run.
 func TestReloadBeforeClientRetry(t *testing.T) {
 	server := newGatedServer(t)
 	cfg := patient(t, server.addr)
@@ -197,20 +200,23 @@
 	var original *call
 	first := sendRequest(t, s, "held", "POST", "pay")
 	server.awaitRequest(t, "held")
-	s.loop.postAndWait(func() { original = s.loop.callsByID["held"]; original.openAttempts++ }) // what ends its attempt is held back
+	s.loop.postAndWait(func() { original = s.loop.callsByID["held"]; original.openAttempts++ }) // it stays open
 	first.Close()
-	eventually(t, "the leaving", func() (ended bool) { s.loop.postAndWait(func() { ended = original.ended }); return ended })
+	eventually(t, "the disconnect", func() (ended bool) { s.loop.postAndWait(func() { ended = original.ended }); return ended })
 	reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[1].Effect = forkline.Safe })
 	retry := sendRequest(t, s, "held", "GET", "pay")
-	eventually(t, "the second copy", func() (waiting bool) { s.loop.postAndWait(func() { waiting = original.retry != nil }); return waiting })
+	eventually(t, "the waiting retry", func() (waiting bool) {
+		s.loop.postAndWait(func() { waiting = original.retry != nil })
+		return waiting
+	})
 	s.loop.post(func() { original.openAttempts--; s.loop.release(original) })
 	if status := retry.readStatus(t); status != statusFailed || len(server.received) > 0 {
-		t.Errorf("status %d, %d further sends", status, len(server.received))
+		t.Errorf("status %d, %d more sends", status, len(server.received))
 	}
 	server.release <- false
 }
 
-// A request that was read by the old settings and comes to the loop after the change is taken by the new ones.
+// A request that was parsed under the old settings and reaches the loop after a reload must be handled by the new ones.
 func TestReloadBeforeParsedRequestIsAccepted(t *testing.T) {
 	cfg := config(t, listen(t).Addr().String())
 	s := start(t, cfg)
@@ -228,7 +234,7 @@
 	renumbered, removed, wrongMethod, keyless := parse("GET", "read"), parse("POST", "pay"), parse("POST", "pay"), parse("POST", "pay")
 	arrived := renumbered.event.Deadline - renumbered.answerWithin
 	cfg = reloadSettings(t, s, cfg, func(set *forkline.Settings) {
-		set.Classes = []forkline.Class{set.Classes[2], set.Classes[0]} // pay is gone
+		set.Classes = []forkline.Class{set.Classes[2], set.Classes[0]} // this removes class pay
 		set.Classes[1].Timeout = 1500
 		set.Tenants = []forkline.Tenant{{Name: "a"}, {Name: "b"}}
 	})
@@ -242,24 +248,25 @@
 	}
 	accept(renumbered)
 	if e := renumbered.event; e.Class != 1 || e.Tenant != 1 || e.Deadline != arrived+1450 {
-		t.Errorf("class %d, tenant %d, due after %v ms", e.Class, e.Tenant, e.Deadline-arrived)
+		t.Errorf("class %d, tenant %d, deadline after %v ms", e.Class, e.Tenant, e.Deadline-arrived)
 	}
 	if got := accept(removed); got.status != 404 {
-		t.Errorf("status %d for a class that is gone", got.status)
+		t.Errorf("status %d for a removed class", got.status)
 	}
 	cfg = reloadSettings(t, s, cfg, func(set *forkline.Settings) {
 		set.Classes = append(set.Classes, forkline.Class{Name: "pay", TargetLatency: 1, Timeout: 9, Effect: forkline.Safe})
 	})
 	if got := accept(wrongMethod); got.status != 405 {
-		t.Errorf("status %d for a method that the class does not have any more", got.status)
+		t.Errorf("status %d for a method that the class no longer allows", got.status)
 	}
 	reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[2].Effect = forkline.Keyed })
 	if got := accept(keyless); got.status != 400 {
-		t.Errorf("status %d for a request without the key that it needs now", got.status)
+		t.Errorf("status %d for a request without the key that the class now requires", got.status)
 	}
 }
 
-// What cannot be used, or cannot change, leaves everything as it was, the address of discovery too.
+// A reload with invalid settings, or with a setting that a running module cannot change, must fail and leave everything
+// as it was, including the discovery address.
 func TestReloadIsAtomic(t *testing.T) {
 	server := newGatedServer(t)
 	cfg := patient(t, server.addr)
@@ -277,21 +284,22 @@
 		}
 	}
 	if status := sendRequest(t, s, "a", "GET", "new").readStatus(t); status != 404 {
-		t.Errorf("status %d of a class that was refused", status)
+		t.Errorf("status %d of a class from rejected settings", status)
 	}
 	if status := sendRequest(t, s, "b", "GET", "read").readStatus(t); status != 200 {
-		t.Errorf("status %d of a class of before", status)
+		t.Errorf("status %d of a class from the settings in force", status)
 	}
 	if s.discovery.addr != cfg.Discovery || s.loop.reloadedIndex != nil {
-		t.Errorf("discovery is at %s", s.discovery.addr)
+		t.Errorf("discovery address %s, or the settings were reloaded", s.discovery.addr)
 	}
 }
 
-// The same settings cost the loop nothing, and a move of discovery in that file counts.
+// A reload with unchanged settings must not wait for the loop. A change of the discovery address in the same
+// configuration must still apply.
 func TestReloadUnchangedSettings(t *testing.T) {
 	cfg := config(t, listen(t).Addr().String())
 	s := start(t, cfg)
-	occupied := occupyLoop(s) // it would have to wait for the loop
+	occupied := occupyLoop(s) // a reload that needs the loop would block
 	same := withSettings(cfg, func(*forkline.Settings) {})
 	same.Discovery, same.Sockets, same.Name = listen(t).Addr().String(), 999, "m"
 	done := make(chan error)
@@ -302,19 +310,19 @@
 			t.Error(err)
 		}
 	case <-time.After(long):
-		t.Fatal("it waits for the loop")
+		t.Fatal("the reload waits for the loop")
 	}
 	if s.discovery.addr != same.Discovery {
-		t.Errorf("discovery is at %s", s.discovery.addr)
+		t.Errorf("discovery address %s, want the new one", s.discovery.addr)
 	}
 	if restartOnly := s.restartOnlyChanges(&same); !slices.Equal(restartOnly, []string{"name", "limits.sockets"}) {
-		t.Errorf("kept: %q", restartOnly)
+		t.Errorf("keys kept until a restart: %q", restartOnly)
 	}
 	occupied.release()
 }
 
-// Changes and moves come at once from several sides, while the loop's mail is full and a watch tells lists: nobody
-// waits for good, and what came last is in force.
+// Concurrent reloads change settings and the discovery address while the loop's queue is full and a watch delivers
+// lists. None may block forever, and the last reload must be in force.
 func TestReloadWithFullQueue(t *testing.T) {
 	cfg := config(t, listen(t).Addr().String())
 	listingAddr := discover(t, func(_ string, notify func(List), beat func()) {
@@ -328,7 +336,7 @@
 	for len(s.loop.queue) < cap(s.loop.queue) {
 		select {
 		case s.loop.queue <- func() {}:
-		default: // discovery was ahead
+		default: // discovery has filled the queue
 		}
 	}
 	var reloads sync.WaitGroup
@@ -346,16 +354,16 @@
 	last := reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[0].Timeout = 7777 })
 	s.loop.postAndWait(func() {
 		if got := s.loop.reloadedIndex.settings.Classes[0].Timeout; got != 7777 {
-			t.Errorf("deadline %v in force", got)
+			t.Errorf("timeout %v ms in force", got)
 		}
 	})
 	if got := s.front.index.Load().settings.Classes[0].Timeout; got != 7777 || s.discovery.addr != last.Discovery {
-		t.Errorf("deadline %v at the front, discovery at %s", got, s.discovery.addr)
+		t.Errorf("timeout %v ms at the front, discovery address %s", got, s.discovery.addr)
 	}
 }
 
-// A change during a drain is in force for what is still taken; before one, the drain follows the new longest deadline.
-// After the end it is told to be too late.
+// A reload during a drain must apply to requests that are still accepted. A reload before a drain must change the
+// drain's time limit, which follows the longest timeout of any class. A reload after the end must return an error.
 func TestReloadDuringDrain(t *testing.T) {
 	server := newGatedServer(t)
 	cfg := patient(t, server.addr)
@@ -364,7 +372,7 @@
 		t.Fatal(err)
 	}
 	s.cachedListDelay = 0
-	s.front.drainAcceptTime = 2 * time.Second // for a test on a busy machine
+	s.front.drainAcceptTime = 2 * time.Second // long enough on a busy machine
 	ctx, cancel := context.WithCancel(t.Context())
 	ended := make(chan error)
 	go func() { ended <- s.Run(ctx) }()
@@ -374,21 +382,21 @@
 			set.Classes[i].TargetLatency, set.Classes[i].Timeout = 2000, 2000
 		}
 	})
-	if got := s.drainLimit(); got != longest-time.Second { // 3 s, the most that is waited for, before
-		t.Errorf("what is left is given up %v after SIGTERM, before %v", got, longest)
+	if got := s.drainLimit(); got != longest-time.Second { // before, the longest timeout counted as 3 s, the maximum
+		t.Errorf("drain limit %v, was %v before the reload", got, longest)
 	}
-	reloadSettings(t, s, cfg, func(*forkline.Settings) {}) // the drain lasts for as long as it may
+	reloadSettings(t, s, cfg, func(*forkline.Settings) {}) // restores the longest drain
 	held := sendRequest(t, s, "held", "GET", "read")
 	server.awaitRequest(t, "held")
 	cancel()
 	eventually(t, "the drain", s.front.draining.Load)
 	cfg = reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[1].Name = "new" })
 	if status := sendRequest(t, s, "late", "POST", "new").readStatus(t); status != 200 {
-		t.Errorf("status %d of a class that came during the drain", status)
+		t.Errorf("status %d of a class added during the drain", status)
 	}
 	server.release <- true
 	if status := held.readStatus(t); status != 200 {
-		t.Errorf("status %d of what was taken before", status)
+		t.Errorf("status %d of a request accepted before the drain", status)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
@@ -399,7 +407,9 @@
 	}
 }
 
-// The module is told the list by the new numbers of zones: two that had none, and were one for it, are two.
+// When a reload renumbers the zones, the module must receive the list again with the new numbers. The zones of the two
+// servers have no number at first and count as one zone. After the reload they are two, so the request must be retried
+// in only one of them.
 func TestReloadZonesResendsList(t *testing.T) {
 	a, b := newGatedServer(t), newGatedServer(t)
 	cfg := patient(t, a.addr, b.addr)
@@ -424,7 +434,8 @@
 	}
 }
 
-// Zones have other numbers: nothing is repeated in a zone by its old one.
+// When a reload renumbers the zones, a request must not be retried in the zone that now has the old number of its zone:
+// the servers there do not know its idempotency key.
 func TestReloadZonesDoesNotRetryByOldNumber(t *testing.T) {
 	server, other := newGatedServer(t), newGatedServer(t)
 	cfg := patient(t, server.addr, other.addr)
@@ -437,7 +448,8 @@
 	s := start(t, cfg)
 	open := sendRequest(t, s, "held", "POST", "add", "Idempotency-Key: k")
 	server.awaitRequest(t, "held")
-	s.loop.postAndWait(func() { s.loop.updateList(List{Full: true}, forkline.ListFull) }) // its server is gone and not told anew
+	// Its server is removed and will not be listed again.
+	s.loop.postAndWait(func() { s.loop.updateList(List{Full: true}, forkline.ListFull) })
 	cfg.Site.Zones = []string{"y", "z"}
 	if err := s.Reload(cfg); err != nil {
 		t.Fatal(err)
@@ -449,21 +461,22 @@
 	if entry.Zone != 1 {
 		t.Errorf("zone %d, want the new number", entry.Zone)
 	}
-	// Another one is in the zone of its old number.
+	// Another server is in the zone that now has the old number.
 	list := List{Full: true, Targets: []Target{{UID: "s-1", Endpoint: other.addr, Zone: "y", State: "Ready"}}}
 	s.loop.postAndWait(func() { s.loop.updateList(list, forkline.ListFull) })
 	server.release <- false
 	if status := open.readStatus(t); status != statusFailed || len(other.received) > 0 {
-		t.Errorf("status %d, %d sends to a server that does not know the key", status, len(other.received))
+		t.Errorf("status %d, %d sends to a server that does not know the idempotency key", status, len(other.received))
 	}
 	s.loop.postAndWait(func() {
 		if d := s.loop.directory; len(d.targets) != 1 || len(d.ids) != 1 {
-			t.Errorf("%d targets and %d ids are kept of one that is listed", len(d.targets), len(d.ids))
+			t.Errorf("%d targets and %d ids are kept, want 1 of each", len(d.targets), len(d.ids))
 		}
 	})
 }
 
-// Connections go by the new limits: idle ones that are too old end, and what was learned of them stays if it is less.
+// Connections must follow the new limits after a reload: idle connections over the new idle timeout are closed, and the
+// trusted idle time that was learned is kept if it is lower than the new idle timeout.
 func TestReloadConnectionLimits(t *testing.T) {
 	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -472,12 +485,12 @@
 	u := pool(ln.Addr().String(), 4)
 	u.configure(forkline.Limits{IdleTimeout: 3.6e6}, 0)
 	if u.trustedIdle != u.idleTimeout || u.idleTimeout != 48*time.Minute {
-		t.Errorf("idle for %v, trusted for %v", u.idleTimeout, u.trustedIdle)
+		t.Errorf("idle timeout %v, trusted idle time %v", u.idleTimeout, u.trustedIdle)
 	}
 	attemptOn(u, long)
 	u.configure(forkline.Limits{IdleTimeout: 10, ConnectTimeout: 77}, 1000)
 	if u.trustedIdle != 8*time.Millisecond || u.dialTimeout != 77*time.Millisecond || u.firstByteTimeout != 600*time.Millisecond {
-		t.Errorf("trusted for %v, dials %v, begins within %v", u.trustedIdle, u.dialTimeout, u.firstByteTimeout)
+		t.Errorf("trusted idle time %v, dial timeout %v, first byte timeout %v", u.trustedIdle, u.dialTimeout, u.firstByteTimeout)
 	}
 	eventually(t, "the end of the idle connection", func() bool {
 		u.mu.Lock()
@@ -487,6 +500,6 @@
 	u.trustedIdle = time.Millisecond
 	u.configure(forkline.Limits{}, 0)
 	if u.trustedIdle != time.Millisecond || u.idleTimeout != defaultIdleTimeout || u.dialTimeout != defaultDialTimeout || u.firstByteTimeout != 0 {
-		t.Errorf("trusted for %v, idle for %v, dials %v", u.trustedIdle, u.idleTimeout, u.dialTimeout)
+		t.Errorf("trusted idle time %v, idle timeout %v, dial timeout %v", u.trustedIdle, u.idleTimeout, u.dialTimeout)
 	}
 }
