--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -17,17 +17,20 @@
 	"forkline/internal/listwatch"
 )
 
-// toldAfter is when a change counts as told after discovery had it and could be reached; toldAfterMove after a SIGHUP.
+// A sidecar must receive a change within notifyLimit of when discovery has it and can be reached, and after a change of
+// the discovery address by SIGHUP within notifyLimitAfterMove.
 const notifyLimit, notifyLimitAfterMove = 6 * time.Second, 4 * time.Second
 
-// unhurried is a policy of real time that waits for as long as a busy machine may take, but for a silent watch.
+// unhurried returns a policy for tests in real time. All its timeouts are long enough for a busy machine, except the
+// given silence timeout of a watch.
 func unhurried(silence time.Duration) listwatch.Policy {
 	return listwatch.Policy{
-		SilenceTimeout: silence, DialTimeout: long, SoftTimeout: long, CallTimeout: long, OldestCallTimeout: long, RetryDelay: listwatch.PushPolicy.RetryDelay,
+		SilenceTimeout: silence, DialTimeout: long, SoftTimeout: long, CallTimeout: long, OldestCallTimeout: long,
+		RetryDelay: listwatch.PushPolicy.RetryDelay,
 	}
 }
 
-// away is what becomes of a call to a discovery that is away.
+// outage is how calls fail while discovery is unavailable.
 type outage string
 
 const (
@@ -38,25 +41,26 @@
 	acceptedSilent outage = "accepted and silent"
 )
 
-// service is a discovery in virtual time: it handles calls in turn, also such as were given up, and its watches beat.
+// simulatedDiscovery is a discovery service in virtual time. It handles calls one after another, including those that
+// their caller has abandoned, and sends heartbeats on its watches.
 type simulatedDiscovery struct {
-	callTime time.Duration
+	callTime time.Duration // to handle one call
 
 	mu            sync.Mutex
 	outage        outage
-	interrupted   chan struct{} // closed when it goes away, or its watches fall silent
-	watchesSilent bool          // they fall silent, and their connections stay
-	nextFree      time.Time     // when the next call's turn is
-	callTimes     []time.Time
-	changedAt     time.Time   // it came back, or its watches fell silent
-	answeredAt    []time.Time // by copy, first after that
+	interrupted   chan struct{} // closed when an outage begins or the watches become silent
+	watchesSilent bool          // no heartbeats are sent, but connections stay open
+	nextFree      time.Time     // when it can handle the next call
+	callTimes     []time.Time   // start of each call
+	changedAt     time.Time     // end of the last outage, or when the watches became silent
+	answeredAt    []time.Time   // by rank of the copy, its first answer after changedAt
 }
 
 func newSimulatedDiscovery(copies int, callTime time.Duration) *simulatedDiscovery {
 	return &simulatedDiscovery{callTime: callTime, answeredAt: make([]time.Time, copies), interrupted: make(chan struct{})}
 }
 
-// turnTo has it go away or come back.
+// setOutage begins an outage, or ends it with noOutage.
 func (s *simulatedDiscovery) setOutage(kind outage) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -68,7 +72,7 @@
 	s.interrupted = make(chan struct{})
 }
 
-// silence has the watches fall silent; calls are handled as before.
+// silenceWatches stops the heartbeats of the open watches. Calls are handled as before.
 func (s *simulatedDiscovery) silenceWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,7 +120,7 @@
 		fmt.Fprint(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 		return
 	case acceptedSilent:
-		c.Read(make([]byte, 1)) // until the caller goes
+		c.Read(make([]byte, 1)) // until the client disconnects
 		return
 	}
 	time.Sleep(wait)
@@ -135,7 +139,7 @@
 			silent := s.watchesSilent
 			s.mu.Unlock()
 			if silent {
-				c.Read(make([]byte, 1)) // until the caller goes
+				c.Read(make([]byte, 1)) // until the client disconnects
 			}
 			return
 		case <-time.After(2 * time.Second):
@@ -146,7 +150,8 @@
 	}
 }
 
-// last is how long after the given time the last copy was answered; ok is false if one was not.
+// lastAnswered returns how long after the given time the last copy was answered. It reports false if a copy was not
+// answered since.
 func (s *simulatedDiscovery) lastAnswered(after time.Time) (last time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,7 +163,7 @@
 	return last, ok
 }
 
-// rate is the calls a second within a time, the mean and the most that began within one second.
+// callRate returns the calls per second between two times: the mean, and the most that started within one second.
 func (s *simulatedDiscovery) callRate(from, to time.Time) (mean float64, peak int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,7 +182,8 @@
 	return float64(n) / to.Sub(from).Seconds(), peak
 }
 
-// fleet runs the module and discovery of so many copies, with no sockets, until the test ends.
+// startFleet runs the module and the discovery client of the given number of copies, without sockets. It returns a
+// function that changes the discovery address of all copies and one that stops them.
 func startFleet(t *testing.T, copies int, polled bool, discoveries map[string]*simulatedDiscovery) (move func(addr string), stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var clients []*discovery
@@ -219,7 +225,7 @@
 	}
 }
 
-// What open watches miss when they fall silent counts as told 6 s after.
+// Watches that become silent must be replaced in time: changes that they miss must be received within 6 s.
 func TestSilentWatchesAreReplacedInTime(t *testing.T) {
 	for _, polled := range []bool{true, false} {
 		for _, copies := range []int{12, 300} {
@@ -232,9 +238,9 @@
 				time.Sleep(15 * time.Second)
 				last, ok := s.lastAnswered(silentAt)
 				_, peak := s.callRate(silentAt, silentAt.Add(notifyLimit))
-				t.Logf("%d copies, asked %v: last answered after %.2f s, up to %d calls a second", copies, polled, last.Seconds(), peak)
+				t.Logf("%d copies, polled %v: last answered after %.2f s, up to %d calls per second", copies, polled, last.Seconds(), peak)
 				if !ok || last > notifyLimit || polled && peak > copies {
-					t.Errorf("all answered: %v, the last after %v, up to %d calls a second", ok, last, peak)
+					t.Errorf("all answered: %v, the last after %v, up to %d calls per second", ok, last, peak)
 				}
 				stop()
 				time.Sleep(time.Minute)
@@ -243,16 +249,17 @@
 	}
 }
 
-// After an outage every copy has asked and been answered within the 6 s, however calls failed meanwhile and however
-// long it was; after a SIGHUP to where discovery answers within 4 s. Calls are handled in turn, 10 ms each, and
-// neither while discovery is away nor at its return do they come in a herd.
+// After an outage of discovery every copy must have called again and been answered within 6 s, however long the outage
+// was and however calls failed during it. After a SIGHUP that sets an address where discovery answers, the limit is 4
+// s. Calls are handled one after another and take 10 ms each. Neither during the outage nor at its end may the copies
+// all call at once.
 func TestChangesReachAllCopiesInTime(t *testing.T) {
 	for _, c := range []struct {
 		copies      int
 		polled      bool
 		duration    time.Duration
-		maxMeanRate float64 // most calls a second by all copies while discovery is away, on average
-		maxPeakRate int     // and within any second, while it is away and at its return; pushed: by the shortest pause
+		maxMeanRate float64 // limit on the mean calls per second of all copies during the outage
+		maxPeakRate int     // limit on calls within any second, during the outage and at its end; pushed lists: by the shortest delay
 	}{
 		{12, true, 1200 * time.Millisecond, 0, 12},
 		{300, true, 1200 * time.Millisecond, 0, 300},
@@ -267,9 +274,9 @@
 		for _, kind := range []outage{connRefused, connHangs, unavailable503, acceptedSilent} {
 			for _, addrChanges := range []bool{false, true} {
 				if addrChanges && c.copies == 300 && c.duration == 300*time.Second {
-					continue // as with 12 copies; it takes long
+					continue // takes long and shows no more than with 12 copies
 				}
-				mode := map[bool]string{true: "asked", false: "pushed"}[c.polled]
+				mode := map[bool]string{true: "polled", false: "pushed"}[c.polled]
 				name := fmt.Sprintf("%d %s/%v/%s/moves=%v", c.copies, mode, c.duration, kind, addrChanges)
 				t.Run(name, func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
@@ -277,7 +284,7 @@
 						move, stop := startFleet(t, c.copies, c.polled, map[string]*simulatedDiscovery{"a:1": old, "b:1": next})
 						time.Sleep(20 * time.Second)
 						if _, ok := old.lastAnswered(time.Time{}.Add(1)); !ok {
-							t.Error("not all were answered at the start")
+							t.Error("not all copies were answered at the start")
 						}
 						outageAt := time.Now()
 						old.setOutage(kind)
@@ -287,7 +294,7 @@
 							limit = notifyLimitAfterMove
 							next.setOutage(kind)
 							move("b:1")
-							time.Sleep(500 * time.Millisecond) // the first calls there fail
+							time.Sleep(500 * time.Millisecond) // the first calls to the new address fail
 							next.setOutage(noOutage)
 						} else {
 							old.setOutage(noOutage)
@@ -295,23 +302,24 @@
 						}
 						time.Sleep(15 * time.Second)
 						last, ok := next.lastAnswered(restoredAt)
-						firstRoundEnd := outageAt.Add(6 * time.Second) // past the first round, which a broken watch has sooner
+						// The first calls follow soon after the watches break and are counted apart.
+						firstRoundEnd := outageAt.Add(6 * time.Second)
 						outageMean, outagePeak := old.callRate(firstRoundEnd, restoredAt)
 						_, firstPeak := old.callRate(outageAt, firstRoundEnd)
 						_, returnPeak := next.callRate(restoredAt, restoredAt.Add(notifyLimit))
-						t.Logf("last answered after %.2f s; calls a second: at first %d, then %.1f, at most %d; at the return %d",
+						t.Logf("last answered after %.2f s; calls per second: at first %d, then %.1f, at most %d; at the end of the outage %d",
 							last.Seconds(), firstPeak, outageMean, outagePeak, returnPeak)
 						if !ok || last > limit {
 							t.Errorf("all answered: %v, the last after %v, want %v", ok, last, limit)
 						}
 						if outageMean > c.maxMeanRate || outagePeak > c.maxPeakRate {
-							t.Errorf("%.1f calls a second, up to %d", outageMean, outagePeak)
+							t.Errorf("%.1f calls per second during the outage, up to %d", outageMean, outagePeak)
 						}
 						if maxReturnPeak := max(c.maxPeakRate, c.copies); returnPeak > maxReturnPeak || !addrChanges && returnPeak > c.maxPeakRate {
-							t.Errorf("up to %d calls a second at the return", returnPeak)
+							t.Errorf("up to %d calls per second at the end of the outage", returnPeak)
 						}
 						stop()
-						time.Sleep(time.Minute) // until all that the services do is over
+						time.Sleep(time.Minute) // until the simulated services have ended all calls
 					})
 				})
 			}
@@ -319,7 +327,8 @@
 	}
 }
 
-// A sidecar serves with 1,024 endpoints and copies: it takes them from its old list, changes and whole lists.
+// A sidecar must serve with 1,024 endpoints and copies, and accept the endpoints from a cached list, a delta and a full
+// list.
 func TestManyEndpointsAndCopies(t *testing.T) {
 	const count = 1024
 	cfg := config(t)
@@ -343,7 +352,7 @@
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
-	expectServed("known")
+	expectServed("cached")
 	halfDraining := List{}
 	for i, target := range cfg.InitialList.Targets {
 		if i%2 == 0 {
@@ -353,7 +362,7 @@
 	}
 	s.loop.postAndWait(func() { s.loop.updateList(halfDraining, forkline.ListDelta) })
 	if all, usable := countServers(); all != count || usable != count/2 {
-		t.Errorf("%d listed and %d usable, want %d and %d", all, usable, count, count/2)
+		t.Errorf("%d servers listed and %d usable, want %d and %d", all, usable, count, count/2)
 	}
 	expectServed("half")
 	text, err := json.Marshal(List{Rev: 3, Full: true, Targets: cfg.InitialList.Targets})
@@ -366,10 +375,10 @@
 	}
 	s.loop.postAndWait(func() { s.loop.updateList(list, forkline.ListFull) })
 	if all, usable := countServers(); all != count || usable != count {
-		t.Errorf("%d listed and %d usable, want %d of each", all, usable, count)
+		t.Errorf("%d servers listed and %d usable, want %d of each", all, usable, count)
 	}
-	expectServed("whole")
+	expectServed("full")
 	if merged := list.merge(halfDraining); len(merged.Targets) != count || merged.Targets[0].State != "Terminating" {
-		t.Errorf("%d targets after the changes, the first %+v", len(merged.Targets), merged.Targets[0])
+		t.Errorf("%d targets after the delta, the first %+v", len(merged.Targets), merged.Targets[0])
 	}
 }
