--- a/internal/sidecar/remembered_test.go
+++ b/internal/sidecar/remembered_test.go
@@ -12,21 +12,21 @@
 	"forkline"
 )
 
-// A client whose connection was reset under the answer sends its request once more, some time after it has ended. What
-// may have run and must not simply run twice fails then; what did not run, or is safe, is served.
+// A client whose connection was reset during the response retries some time after its request has ended. The retry must
+// fail if the request may have run and must not run twice. It is served if the request did not run or is safe.
 func TestClientRetryAfterEndRunsOnce(t *testing.T) {
 	const notRun = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		method, class         string
-		firstResponse         string // answer of the endpoint to the first copy; "" = it is served
+		firstResponse         string // of the endpoint to the original request; "" serves it
 		wantSends, wantStatus int
 	}{
 		"unsafe, served":         {"POST", "pay", "", 1, statusFailed},
 		"unsafe, cut off":        {"POST", "pay", "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n", 1, statusFailed},
-		"unsafe, turned away":    {"POST", "pay", notRun, 2, 200},
+		"unsafe, not run":        {"POST", "pay", notRun, 2, 200},
 		"keyed, served":          {"POST", "add", "", 1, statusFailed},
 		"safe, served":           {"GET", "read", "", 2, 200},
-		"unsafe, while all ends": {"POST", "pay", "", 1, statusFailed},
+		"unsafe, after abortAll": {"POST", "pay", "", 1, statusFailed},
 	} {
 		t.Run(name, func(t *testing.T) {
 			received := make(chan struct{}, 10)
@@ -44,10 +44,10 @@
 			first.send(c.method, c.class, "", "Idempotency-Key: k")
 			first.answer(t)
 			first.Close()
-			for remaining := 1; remaining > 0; { // the first copy is over, and its attempt closed
+			for remaining := 1; remaining > 0; { // the original request and its attempt have ended
 				s.loop.postAndWait(func() { remaining = len(s.loop.calls) + len(s.loop.callsByID) })
 			}
-			if name == "unsafe, while all ends" {
+			if name == "unsafe, after abortAll" {
 				s.loop.postAndWait(s.loop.abortAll)
 			}
 			second.send(c.method, c.class, "", "Idempotency-Key: k")
@@ -58,7 +58,8 @@
 	}
 }
 
-// While all is given up, a copy of what may still run at an endpoint has failed: a refusal would say that it cannot have run.
+// A retry that arrives after abortAll must fail if the original request may still be running at an endpoint: a refusal
+// would state that it cannot have run.
 func TestClientRetryAfterAbortAllFails(t *testing.T) {
 	s := startWithoutDrain(t, echo, nil)
 	statuses := make(chan int, 2)
@@ -69,12 +70,11 @@
 		s.loop.accept(&call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, respond: func(a response) { statuses <- a.status }})
 	})
 	if len(statuses) != 1 || <-statuses != statusFailed {
-		t.Error("it was not answered, or not as one that may have run")
+		t.Error("the retry was not answered exactly once, as failed")
 	}
 }
 
-// What is remembered is bounded in time and in number, and while there is no room for more nothing is taken that would
-// have to be remembered.
+// The recent ids must be bounded in time and in number.
 func TestRecentIDsAreBounded(t *testing.T) {
 	r := newRecentIDs()
 	for i := range 3 * maxRecentIDs {
@@ -82,20 +82,21 @@
 		r.expire(float64(i))
 	}
 	if len(r.ids) > 101 || len(r.entries) > 400 {
-		t.Errorf("%d ids in %d places are kept of 100", len(r.ids), len(r.entries))
+		t.Errorf("%d ids and %d entries are kept, want some 100 ids", len(r.ids), len(r.entries))
 	}
 	last := 3*maxRecentIDs - 1
 	if r.expire(float64(last + 99)); !r.contains(fmt.Sprint(last)) || r.isFull(0) {
-		t.Error("the last id is forgotten too soon, or there is no room")
+		t.Error("the last id expired too soon, or no capacity is left")
 	}
 	if r.expire(float64(last + 100)); r.contains(fmt.Sprint(last)) || len(r.ids) > 0 {
-		t.Error("the last id is kept too long")
+		t.Error("the last id was kept too long")
 	}
 }
 
+// While the recent ids are full, requests whose ids would have to be kept must be refused. Safe requests are accepted.
 func TestRequestsWhileRecentIDsAreFull(t *testing.T) {
 	socketless(t, func(t *testing.T, f *front) {
-		accept := func(class uint16, safe bool) int { // the status that it is answered with at once; 0 = it is taken
+		accept := func(class uint16, safe bool) int { // returns the status of an immediate response; 0 = accepted
 			statuses := make(chan int, 1)
 			f.loop.postAndWait(func() {
 				f.loop.accept(&call{
@@ -116,15 +117,15 @@
 			}
 		})
 		if status := accept(1, false); status != statusRefused {
-			t.Errorf("status %d of an unsafe request without room", status)
+			t.Errorf("status %d of an unsafe request while the ids are full", status)
 		}
 		if status := accept(0, true); status != 0 {
-			t.Errorf("status %d of a safe request without room, want it taken", status)
+			t.Errorf("status %d of a safe request while the ids are full, want it accepted", status)
 		}
 		synctest.Wait()
 		time.Sleep(msToDuration(f.loop.idRetention) + time.Second)
 		if status := accept(1, false); status != 0 {
-			t.Errorf("status %d of an unsafe request with room, want it taken", status)
+			t.Errorf("status %d of an unsafe request after the ids have expired, want it accepted", status)
 		}
 	})
 }
