--- a/internal/sidecar/readiness_test.go
+++ b/internal/sidecar/readiness_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// isReady asks on a new connection.
+// isReady reports whether the sidecar answers a readiness check on a new connection with 200.
 func isReady(s *Sidecar) bool {
 	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: long}
 	res, err := c.Get("http://" + s.listener.Addr().String() + "/-/ready")
@@ -20,7 +20,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-// troubles are discoveries that are of no help to a process that starts.
+// brokenDiscoveries start discovery services that deliver no list, and return their addresses.
 var brokenDiscoveries = map[string]func(*testing.T) string{
 	"refused": func(t *testing.T) string {
 		ln := listen(t)
@@ -31,7 +31,7 @@
 	"silent": func(t *testing.T) string {
 		return script(t, func(_ int, c net.Conn, _ *http.Request) bool { io.Copy(io.Discard, c); return false }).Addr().String()
 	},
-	"crowded": func(t *testing.T) string {
+	"overloaded": func(t *testing.T) string {
 		return script(t, func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 			return false
@@ -49,13 +49,13 @@
 	},
 }
 
-// A process that starts while discovery is of no help sends by its old list: at once where lists are asked for, and
-// after the wait for the agent where they are pushed. Only the system's own clock can run beside real sockets, so this
-// wait of 1 s is waited for in full.
+// A process that starts while discovery delivers no list must become ready with its cached list: at once if lists are
+// polled, and after the delay for discovery's first message if they are pushed. Virtual time does not work with real
+// sockets, so the test waits for the full delay of 1 s.
 func TestReadyWithoutDiscovery(t *testing.T) {
 	for name, startDiscovery := range brokenDiscoveries {
 		for _, polled := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%s/asked %v", name, polled), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/polled %v", name, polled), func(t *testing.T) {
 				t.Parallel()
 				cfg := config(t, script(t, echo).Addr().String())
 				cfg.Discovery, cfg.Site.Settings.PollList = startDiscovery(t), polled
@@ -80,10 +80,10 @@
 	}
 }
 
-// With no old list there is nothing to send by until discovery tells one: then the process is ready.
+// A process without a cached list must not be ready until discovery delivers a list.
 func TestReadyOnceListArrivesWithoutCachedList(t *testing.T) {
 	for _, polled := range []bool{false, true} {
-		t.Run(fmt.Sprint("asked ", polled), func(t *testing.T) {
+		t.Run(fmt.Sprint("polled ", polled), func(t *testing.T) {
 			t.Parallel()
 			addr, sendList := script(t, echo).Addr().String(), make(chan struct{})
 			cfg := config(t)
@@ -114,8 +114,8 @@
 	}
 }
 
-// Clients have crowded the listener's backlog before the process takes the first of them, with and without the first
-// bytes of a request. Those who ask whether it is ready, before and after, are answered.
+// Clients fill the listener's backlog before the process accepts the first connection, with and without the first bytes
+// of a request. Readiness checks sent before and after the start must still be answered.
 func TestReadyWithFullBacklog(t *testing.T) {
 	for name, sent := range map[string]string{"silent": "", "half a request": requestFirstHalf} {
 		t.Run(name, func(t *testing.T) {
@@ -133,16 +133,17 @@
 			fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n")
 			go s.Run(t.Context())
 			if res, _ := c.answer(t); res.StatusCode != 200 {
-				t.Errorf("status %d for the one at the end of the backlog", res.StatusCode)
+				t.Errorf("status %d for the check at the end of the backlog", res.StatusCode)
 			}
 			eventually(t, "readiness", func() bool { return isReady(s) })
 		})
 	}
 }
 
-// Nine in ten restarted processes have to be ready within 10 s. All that is waited for on purpose is the agent.
+// Nine in ten restarted processes must be ready within 10 s. The only deliberate delay is the wait for discovery's
+// first message.
 func TestCachedListDelayLeavesTimeToBeReady(t *testing.T) {
 	if defaultCachedListDelay > time.Second {
-		t.Errorf("a process with an old list waits for %v", defaultCachedListDelay)
+		t.Errorf("a process with a cached list waits for %v", defaultCachedListDelay)
 	}
 }
