--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -10,8 +10,8 @@
 	"forkline/internal/listwatch"
 )
 
-// Where all connections have open requests nobody can be evicted: a new one is closed at once, which its client can
-// tell from a lost request, and those behind it are not held up.
+// When all connections have open requests, none can be evicted. A new connection must be closed at once, which its
+// client can tell from a lost request, and must not delay the connections behind it.
 func TestNewConnectionIsClosedWhenAllHaveOpenRequests(t *testing.T) {
 	const maxConns = 4
 	release := make(chan struct{})
@@ -29,7 +29,7 @@
 		clients[i].id = fmt.Sprint(i)
 		clients[i].send("GET", "read", "")
 	}
-	eventually(t, "all requests", func() (allOpen bool) {
+	eventually(t, "an open request on each connection", func() (allOpen bool) {
 		s.loop.postAndWait(func() { allOpen = len(s.loop.calls) == maxConns })
 		return allOpen
 	})
@@ -44,8 +44,8 @@
 	}
 }
 
-// Clients that send the first bytes of a request, and come again as soon as they are ended, keep nobody out: a new
-// connection gets its turn behind those that came before it.
+// Clients that send only the first bytes of a request, and reconnect as soon as they are disconnected, must not keep
+// other clients out: a new connection is admitted after those that arrived before it.
 func TestIncompleteRequestsDoNotBlockNewClients(t *testing.T) {
 	s, _ := serving(t, func(s *Sidecar) { s.front.downstream.maxConns = 2 * evictionHeadroom })
 	addr := s.listener.Addr().String()
@@ -62,7 +62,7 @@
 			}
 		}()
 	}
-	eventually(t, "a crowd that fills all", func() bool {
+	eventually(t, "incomplete requests on all connections", func() bool {
 		s.front.downstream.mu.Lock()
 		defer s.front.downstream.mu.Unlock()
 		return s.front.downstream.receiving.Len() >= s.front.downstream.maxConns
@@ -74,12 +74,13 @@
 	}
 }
 
-// Calls to a silent discovery wait beside each other, each with a descriptor; what is reserved has room for them all
-// beside what the process holds by itself, also at the least limit. At the end of a call's time the next is begun first.
+// Calls to a silent discovery service overlap, and each holds a descriptor. The reserved descriptors must cover all of
+// them and those that the process itself holds, even with the smallest descriptor limit. A new call starts before the
+// one that times out is canceled, so both count.
 func TestReservedSocketsCoverDiscoveryCalls(t *testing.T) {
-	const ownDescriptors = 14 // seen in the program at its limit: runtime, standard streams, listener, configuration
-	for name, p := range map[string]listwatch.Policy{"asked": listwatch.PollPolicy, "pushed": listwatch.PushPolicy} {
-		random := func() float64 { return 0 } // the shortest pauses
+	const ownDescriptors = 14 // of the runtime, standard streams, listener and configuration, as observed at the descriptor limit
+	for name, p := range map[string]listwatch.Policy{"polled": listwatch.PollPolicy, "pushed": listwatch.PushPolicy} {
+		random := func() float64 { return 0 } // the shortest delays
 		w := listwatch.NewWatcher(p, random)
 		kind := listwatch.EvPoll
 		if p.RetryDelay > 0 {
@@ -98,13 +99,13 @@
 			}
 		}
 		for now := time.Duration(0); now < time.Minute; now += time.Millisecond {
-			if now == 0 || p.RetryDelay == 0 && now%time.Second == 0 { // the module's shortest round
+			if now == 0 || p.RetryDelay == 0 && now%time.Second == 0 { // the shortest interval at which the module polls
 				handle(now, listwatch.Event{Kind: kind})
 			}
 			handle(now, listwatch.Event{Kind: listwatch.EvTick})
 		}
 		if maxOpen < 2 || ownDescriptors+maxOpen > reservedSockets(MinSockets) {
-			t.Errorf("%s: %d calls wait, %d descriptors are reserved", name, maxOpen, reservedSockets(MinSockets))
+			t.Errorf("%s: %d calls overlap, %d descriptors are reserved", name, maxOpen, reservedSockets(MinSockets))
 		}
 		t.Logf("%s: %d calls", name, maxOpen)
 	}
