--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -44,7 +44,7 @@
 // simulatedDiscovery is a discovery service in virtual time. It handles calls one after another, including those that
 // their caller has abandoned, and sends heartbeats on its watches.
 type simulatedDiscovery struct {
-	callTime time.Duration // to handle one call
+	callTime time.Duration // time to handle one call
 
 	mu            sync.Mutex
 	outage        outage
--- a/internal/sidecar/remembered_test.go
+++ b/internal/sidecar/remembered_test.go
@@ -18,7 +18,7 @@
 	const notRun = "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n"
 	for name, c := range map[string]struct {
 		method, class         string
-		firstResponse         string // of the endpoint to the original request; "" serves it
+		firstResponse         string // response of the endpoint to the original request; "" serves it
 		wantSends, wantStatus int
 	}{
 		"unsafe, served":         {"POST", "pay", "", 1, statusFailed},
@@ -44,7 +44,7 @@
 			first.send(c.method, c.class, "", "Idempotency-Key: k")
 			first.answer(t)
 			first.Close()
-			for remaining := 1; remaining > 0; { // the original request and its attempt have ended
+			for remaining := 1; remaining > 0; { // until the original request and its attempt have ended
 				s.loop.postAndWait(func() { remaining = len(s.loop.calls) + len(s.loop.callsByID) })
 			}
 			if name == "unsafe, after abortAll" {
