--- a/api.go
+++ b/api.go
@@ -66,7 +66,7 @@
 // Safety holds the parameters of the four safety rules.
 type Safety struct {
 	AnswerSlack       float64 // a final answer is valid for this long after its deadline
-	DrainGrace        float64
+	DrainGrace        float64 // requests may be sent to a server for this long after the notice that it drains
 	ColdCapacity      float64 // a cold server starts with at least this share of its capacity
 	RampTime          float64 // a server is warm at the latest this long after its start
 	OverloadMultiple  float64 // a cold server fails if its load exceeds this multiple of its capacity
@@ -159,10 +159,10 @@
 type ServerEntry struct {
 	Server  uint32
 	Zone    uint8
-	Kind    uint16
+	Kind    uint16 // index of the server's model; no decision uses it
 	Cell    uint16
 	State   ServerState
-	Weight  float64
+	Weight  float64 // capacity relative to other servers; no decision uses it
 	Started float64 // time of the last start on the balancer's clock; 0 = long ago
 }
 
@@ -199,14 +199,14 @@
 
 // The outcomes. Rejected, ConnectFailed and NotSent prove that the request did not run.
 const (
-	OK Outcome = iota
-	Error
-	Rejected
-	Timeout
-	ConnectFailed
-	Reset
-	Cancelled
-	NotSent
+	OK            Outcome = iota
+	Error                 // a response that reports a failure; the request may have run
+	Rejected              // a response that proves that the request did not run
+	Timeout               // no response before the attempt's deadline
+	ConnectFailed         // no connection, or it broke before the request was written completely
+	Reset                 // the connection broke later
+	Cancelled             // cancelled, or ended in a way that says nothing about the server
+	NotSent               // nothing was written, as the client had left
 )
 
 // Event is one input of a balancer. Events that occur at the same time are passed one by one.
--- a/asking.go
+++ b/asking.go
@@ -6,7 +6,7 @@
 
 const (
 	fastPollRound = 1000.0 // ms in which all copies poll once, after a watch broke or discovery moved
-	pollRound     = 5000.0 // ms, for later rounds: leaves 1 s for an answer of the 6 s until copies know of a change
+	pollRound     = 5000.0 // ms, for later rounds: copies count as notified of a change after 6 s, so 1 s is left for an answer
 )
 
 // nextPollAt is the time of this copy's next slot to poll the list. Each copy has one slot per round by its
--- a/balancer.go
+++ b/balancer.go
@@ -33,7 +33,7 @@
 	tierFailureWeight    = 2.0     // more decay, per failure in the tier for each success
 	trialSuccesses       = 3       // successes in a row that end an ejection
 	maxEjectedShare      = 0.4     // share of servers; beyond it, the cause is assumed to be shared
-	coldShare            = 0.7     // largest part of an even share, by warmth, that a cold server gets
+	coldShare            = 0.7     // largest part of an even share, by its ramp, that a cold server gets
 	demandTau            = 2000.0  // time constant of the averages of sends and arrivals
 	queueWaitShare       = 0.3     // longest wait in the queue, over the mean target latency
 	overQuotaShare       = 0.5     // share of the limit above which over-quota requests are refused
@@ -42,7 +42,7 @@
 	defaultRetryMin      = 5.0     // plus this number,
 	defaultRetryWindow   = 10000.0 // within this window
 	latencyGain          = 0.05    // weight of a new value in moving averages
-	servedGain           = 0.005   // likewise for the served share, which the goal counts daily
+	servedGain           = 0.005   // likewise for the served share, which the goal counts over a day
 	latencyWeight        = 7.0     // weight of a server's latency over the tier's, against its credit left
 	attemptTimeoutFactor = 6.0     // mean latencies of the class to wait for an unresponsive server
 	probeCount           = 3       // servers probed per request where probing is cheap
@@ -69,23 +69,23 @@
 	reportedCalls, reportedAt  float64 // requests in progress by its last report, and its time
 	subsetShare                float64 // part of this server that is in the copy's own subset
 	cold                       bool
-	ramp                       ramp // used while cold
-	measured                   bool // has its own load; others take the mean load
-	ejected                    bool // at the minimum load since a run of failures
-	unresponsive               bool // overdue, and so left out of the concurrency limit
-	inFlight, streams          int  // attempts; those whose response has started
-	connecting                 int  // attempts in flight that wait for a new connection
-	load, maxLoad              float64
-	credit, accruedAt          float64
+	ramp                       ramp    // used while cold
+	measured                   bool    // has its own load; others take the mean load
+	ejected                    bool    // at the minimum load since a run of failures
+	unresponsive               bool    // overdue, and so left out of the concurrency limit
+	inFlight, streams          int     // attempts; those whose response has started
+	connecting                 int     // attempts in flight that wait for a new connection
+	load, maxLoad              float64 // requests per second at which credit accrues; their bound
+	credit, accruedAt          float64 // sends that it may still get; time of the last accrual
 	lastSentAt                 float64
 	lastActivity               float64                // last answer, or first send with none in flight
 	closeIdleAt                float64                // time to close idle connections again; 0 = never
 	reviseAt, successesSince   float64                // next revision; since when successes are counted
 	failureRun                 float64                // failures in a run, less its decay
-	successes, successRun      int                    // answers within threshold; in a row, of trials
-	samples                    [ringSize]stats.Sample // latencies over their classes' thresholds
+	successes, successRun      int                    // answers in threshold since successesSince; in a row
+	samples                    [ringSize]stats.Sample // latency ratios: latency over the class's threshold
 	sampleCount                int                    // samples ever taken
-	meanRatio                  float64                // mean, over the threshold; 0 = no answer yet
+	meanRatio                  float64                // mean latency ratio; 0 = no answer yet
 	meanConcurrency            float64                // mean attempts in flight with each answer
 }
 
@@ -161,7 +161,7 @@
 	sends, arrivals                  stats.Rate
 	arrived                          float64     // requests ever arrived
 	connFailureRate                  stats.Share // moving average of attempts without a connection
-	failureRate                      stats.Share // likewise, without an answer, at servers not ejected
+	failureRate                      stats.Share // likewise, of failed ones at servers not ejected
 	meanTarget                       float64
 	accepted, retries                stats.Window   // requests and repeats in the retry budget's window
 	attemptTimers                    []attemptTimer // of safe classes' attempts, earliest first
@@ -292,7 +292,7 @@
 	overQuota := b.overQuota(q)
 	bound := (1 + queueWaitShare*b.meanTarget/1000*b.sends.PerSecond) * b.queueShare(q, overQuota)
 	full, maxOpen := len(b.live) > 0 && len(b.queue) > int(bound), b.cfg.Limits.MaxOpenRequests
-	full = full || overQuota && b.limit.initial > minConcurrency &&
+	full = full || overQuota && b.limit.initial > minConcurrency && // not at copies with few servers
 		float64(b.inFlight) >= overQuotaShare*b.limit.maxInFlight
 	if full || maxOpen > 0 && len(b.requests) > maxOpen {
 		b.endRequest(q)
@@ -1035,7 +1035,7 @@
 	return s
 }
 
-// scheduleWake polls the list if due, and keeps one timer pending while requests wait or a poll is due.
+// scheduleWake polls the list if due, and keeps one timer pending for the queue, polls and attempt timers.
 func (b *Balancer) scheduleWake() {
 	if b.pollAt != 0 && b.now >= b.pollAt {
 		b.pollAt = 0
--- a/retry.go
+++ b/retry.go
@@ -17,7 +17,7 @@
 }
 
 // attemptTimeout is how long an attempt waits for an unresponsive server; 0 = until its deadline. An inner
-// copy hears from a server too seldom to judge, except from an ejected one. Only safe requests may run twice.
+// copy has too few answers of a server to judge it, unless it is ejected. Only safe requests may run twice.
 func (b *Balancer) attemptTimeout(q *request, s *server) float64 {
 	if b.cfg.Stage > 0 && !s.ejected || !b.cfg.Limits.CancelAttempts || b.classes[q.class].Effect != Safe {
 		return 0
@@ -32,8 +32,8 @@
 	b.attemptTimers = slices.Insert(b.attemptTimers, index, timer)
 }
 
-// cancelUnresponsive cancels attempts at servers that were silent since, while there is time for others. A
-// server that answers other requests is only slow: a further attempt would add to its load.
+// cancelUnresponsive cancels attempts whose server has shown no activity for their timeout, while there is
+// time for another one. A server that answers other requests is only slow: an attempt would add to its load.
 func (b *Balancer) cancelUnresponsive() {
 	for len(b.attemptTimers) > 0 && b.attemptTimers[0].at <= b.now {
 		timer := b.attemptTimers[0]
