--- a/internal/sidecar/discovery.go
+++ b/internal/sidecar/discovery.go
@@ -28,8 +28,8 @@
 
 // List is a message of discovery: a full list or changes to it.
 type List struct {
-	Rev     int64    `json:"rev"`
-	Full    bool     `json:"all"`
+	Rev     int64    `json:"rev"` // version of the list
+	Full    bool     `json:"all"` // Targets holds all entries, not only changed ones
 	Targets []Target `json:"targets"`
 }
 
@@ -40,9 +40,9 @@
 	Zone     string  `json:"az"`
 	Kind     string  `json:"model"`
 	Cell     uint16  `json:"pod_group"`
-	State    string  `json:"state"`
+	State    string  `json:"state"` // a key of serverStates
 	Weight   float64 `json:"capacity_hint"`
-	BootMS   float64 `json:"boot_ms"`
+	BootMS   float64 `json:"boot_ms"` // Unix time of the last start, in ms
 }
 
 var serverStates = map[string]forkline.ServerState{
@@ -95,6 +95,7 @@
 	return &directory{zones: zones, kinds: kinds, ids: map[string]uint32{}, uids: map[uint32]string{}, targets: map[uint32]Target{}}
 }
 
+// id returns the ID of a server and assigns one if it has none.
 func (d *directory) id(uid string) uint32 {
 	if id, ok := d.ids[uid]; ok {
 		return id
--- a/internal/sidecar/downstream.go
+++ b/internal/sidecar/downstream.go
@@ -204,6 +204,8 @@
 func (cs *downstream) beginRequest(c *downstreamConn) bool { return cs.moveUnlessEvicted(c, nil) }
 func (cs *downstream) endRequest(c *downstreamConn) bool   { return cs.moveUnlessEvicted(c, cs.idle) }
 
+// moveUnlessEvicted moves a connection to a list, as move does, and withdraws a requested close. It does nothing and returns
+// false if the connection has been evicted.
 func (cs *downstream) moveUnlessEvicted(c *downstreamConn, to *list.List) bool {
 	cs.mu.Lock()
 	defer cs.mu.Unlock()
--- a/internal/sidecar/exchange.go
+++ b/internal/sidecar/exchange.go
@@ -161,7 +161,7 @@
 	if !a.mayWrite() {
 		return unwrittenOutcome(a), false, c.idleFor == 0 // a connection that was idle before must not appear to be recently used
 	}
-	if a.firstByteLate() { // the endpoint may have been told to drain, or may forget an earlier attempt of this request
+	if a.firstByteLate() { // the endpoint may be draining by now, or may forget an earlier attempt of this request
 		return forkline.ConnectFailed, false, c.idleFor == 0
 	}
 	if !outgoing.atMostOnce {
--- a/internal/sidecar/loop.go
+++ b/internal/sidecar/loop.go
@@ -354,7 +354,7 @@
 	}()
 }
 
-// reportConnecting tells the module that an attempt has started or stopped waiting for a new connection.
+// reportConnecting reports to the module that an attempt has started or stopped waiting for a new connection.
 func (l *loop) reportConnecting(c *call, number int, connecting bool) {
 	kind := forkline.EvConnected
 	if connecting {
--- a/internal/sidecar/sidecar.go
+++ b/internal/sidecar/sidecar.go
@@ -20,7 +20,7 @@
 type Config struct {
 	Name, Listen, Discovery string
 	Seed                    uint64
-	MemoryMB, Sockets       int
+	MemoryMB, Sockets       int // limits on memory and on file descriptors
 	Site                    wire.Site
 	InitialList             List      // list to use until discovery answers
 	SettingsHash            uint64    // hash of the settings file, for the log
--- a/internal/sidecar/upstream.go
+++ b/internal/sidecar/upstream.go
@@ -322,6 +322,7 @@
 	return true
 }
 
+// discard closes a connection that is not in the pool.
 func (u *upstream) discard(c *conn) {
 	c.Close()
 	u.mu.Lock()
