--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -21,6 +21,7 @@
 // deadline may pass through all of them, one after another.
 type Phase int
 
+// The phases of a request.
 const (
 	Intake   Phase = iota // from the arrival of a request, or of an attempt's outcome, until its processing starts
 	Timer                 // delay by which a timer fires late
--- a/internal/listwatch/listwatch.go
+++ b/internal/listwatch/listwatch.go
@@ -65,7 +65,7 @@
 const (
 	ActStartCall     ActionKind = iota + 1 // Call: start it at the current discovery address
 	ActCancelCall                          // Call: cancel it, answered or not; its EvCallEnded may or may not follow
-	ActReportFailure                       // Call: there is no watch, and the latest call has failed or is overdue
+	ActReportFailure                       // Call: the latest call has failed or is overdue, and there is no watch at the current address
 )
 
 // Action is one instruction of a Watcher to its host.
