--- a/cmd/forkline-sim/main.go
+++ b/cmd/forkline-sim/main.go
@@ -56,11 +56,11 @@
 // Start creates the balancer of an instance. Settings that the balancer rejects are a failure of this instance, not of
 // the process: the reply reports them.
 func (h *host) Start(instance uint16, seed uint64, settings []byte, now float64) error {
-	set, err := wire.ParseSettings(settings)
+	parsed, err := wire.ParseSettings(settings)
 	if err != nil {
 		return fmt.Errorf("instance %d: %w", instance, err)
 	}
-	b, err := forkline.New(set, seed, now)
+	b, err := forkline.New(parsed, seed, now)
 	if err != nil {
 		delete(h.instances, instance)
 		h.reply.AddFault(instance, err.Error())
--- a/internal/wire/frame.go
+++ b/internal/wire/frame.go
@@ -44,16 +44,19 @@
 	252: forkline.ConnectFailed, 251: forkline.Reset, 250: forkline.Cancelled, 249: forkline.NotSent,
 }
 
-// Host handles the records of a batch one by one.
+// Host handles the records of a batch one by one. An error ends the delivery of the batch.
 type Host interface {
+	// Start creates an instance with the given settings in JSON, or replaces it.
 	Start(instance uint16, seed uint64, settings []byte, now float64) error
+	// Stop removes an instance.
 	Stop(instance uint16)
+	// Event passes an event to an instance. It must not keep ev, which is reused.
 	Event(instance uint16, now float64, ev *forkline.Event) error
 }
 
 // Batch is one input frame. Its body is valid until the next call to Decoder.Read.
 type Batch struct {
-	Number uint32
+	Number uint32  // the reply carries the same number
 	Now    float64 // time of all records, in ms
 	count  int     // number of records
 	body   []byte  // the records, then the tail of variable-size data that they refer to by offset
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -107,7 +107,7 @@
 		return Site{}, fmt.Errorf("settings: %w", err)
 	}
 	l, s := parsed.Limits, parsed.Safety
-	set := forkline.Settings{
+	settings := forkline.Settings{
 		Copies:         parsed.Copies,
 		Rank:           parsed.Rank,
 		Stage:          parsed.Stage,
@@ -132,19 +132,19 @@
 		},
 	}
 	if total := parsed.Goal.TotalWeight + parsed.Goal.WorstWindowWeight; total > 0 {
-		set.WorstClassWeight = max(parsed.Goal.WorstClassWeight, 0) / total
+		settings.WorstClassWeight = max(parsed.Goal.WorstClassWeight, 0) / total
 	}
 	for i, c := range parsed.Classes {
 		class, err := c.class()
 		if err != nil {
 			return Site{}, fmt.Errorf("settings: classes[%d]: %w", i, err)
 		}
-		set.Classes = append(set.Classes, class)
+		settings.Classes = append(settings.Classes, class)
 	}
 	for _, t := range parsed.Tenants {
-		set.Tenants = append(set.Tenants, forkline.Tenant{Name: t.Name, Quota: t.Quota})
+		settings.Tenants = append(settings.Tenants, forkline.Tenant{Name: t.Name, Quota: t.Quota})
 	}
-	return Site{Settings: set, Zones: parsed.Zones, Kinds: parsed.Kinds}, nil
+	return Site{Settings: settings, Zones: parsed.Zones, Kinds: parsed.Kinds}, nil
 }
 
 // class converts a class to that of the balancer. An absent effect means unsafe and an absent group means the cell:
