--- a/internal/experiment/check.go
+++ b/internal/experiment/check.go
@@ -631,7 +631,7 @@
 	e.Services = services
 }
 
-// Endpoints returns the number of endpoints of all services.
+// NumEndpoints returns the number of endpoints of all services.
 func (e *Experiment) NumEndpoints() int {
 	n := 0
 	for _, s := range e.Services {
@@ -640,7 +640,7 @@
 	return n
 }
 
-// Processes returns the number of sidecars: all front sidecars, and one for each endpoint of a service that calls others.
+// NumSidecars returns the number of sidecars: all front sidecars, and one for each endpoint of a service that calls others.
 func (e *Experiment) NumSidecars() int {
 	n := 0
 	for _, s := range e.Services {
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -36,12 +36,12 @@
 type Calls struct {
 	Offered     int64 `json:"asked"`
 	Served      int64 `json:"served"`
-	InTime      int64 `json:"in_time"`
+	InTime      int64 `json:"in_time"` // served within the target latency
 	Refused     int64 `json:"refused"`
 	Failed      int64 `json:"failed"`
-	Late        int64 `json:"late"`
-	Attempts    int64 `json:"attempts"`
-	Connections int64 `json:"connections"`
+	Late        int64 `json:"late"`        // ended after the client's deadline, in whatever way
+	Attempts    int64 `json:"attempts"`    // sends to endpoints
+	Connections int64 `json:"connections"` // connections opened for attempts
 
 	P50       float64 `json:"p50_ms"` // latency of served calls
 	P99       float64 `json:"p99_ms"`
@@ -91,13 +91,13 @@
 type Second struct {
 	At          float64 `json:"at_s"`
 	Offered     int64   `json:"asked"`  // client calls that arrived in this second
-	Served      int64   `json:"served"` // those of them that were served; likewise below
+	Served      int64   `json:"served"` // those of them that were served; likewise Refused, Failed and Late
 	Refused     int64   `json:"refused"`
 	Failed      int64   `json:"failed"`
 	Late        int64   `json:"late"`
-	ListCalls   int64   `json:"list_calls"`
-	Changes     int64   `json:"changes"`
-	Connections int64   `json:"connections"`
+	ListCalls   int64   `json:"list_calls"`  // list calls that discovery received
+	Changes     int64   `json:"changes"`     // changes that discovery learned of
+	Connections int64   `json:"connections"` // connections opened for attempts
 }
 
 // Progress is called about once per second of real time with the elapsed and the total virtual time.
