--- a/internal/fleet/discovery.go
+++ b/internal/fleet/discovery.go
@@ -27,7 +27,7 @@
 	version       int32 // version of the tier's list
 	startVersion  int32 // version of the list at discovery when the process started
 	needsFullList bool  // the next answer contains the full list
-	faultEndsSeen int32 // number of fault ends since which discovery has reached the tier
+	faultEndsSeen int32 // number of fault ends after which discovery has reached the tier
 	watchedCall   int   // call on whose watch discovery writes; 0 if there is none
 	lastCallSeen  int   // last call that arrived at discovery
 	deadUpTo      int   // calls up to this one, and their watches, are dead
@@ -305,6 +305,7 @@
 	f.schedule(tr.lastArrival, evListArrives, ev.id, ev.gen, uint64(call)<<32|uint64(version))
 }
 
+// knownVersion returns the version of a service's list that a discovery instance has.
 func (f *fleet) knownVersion(in *instance, service int32) int32 {
 	if in.stalledVersions != nil {
 		return in.stalledVersions[service]
@@ -357,7 +358,8 @@
 	f.applyChanges(ev.id, version, false)
 }
 
-// applyChanges passes the changes up to a version to the module.
+// applyChanges passes the changes up to a version to the module. The first object of a watch (answer) is passed on even if
+// it contains no change.
 func (f *fleet) applyChanges(t, version int32, answer bool) {
 	tr := &f.tiers[t]
 	s := &f.services[tr.service]
--- a/internal/fleet/fault.go
+++ b/internal/fleet/fault.go
@@ -33,6 +33,7 @@
 	resyncTime int64 // time from the end until discovery had reached all tiers; 0 if it has not yet
 }
 
+// buildFaults validates the experiment's faults and schedules their starts.
 func (f *fleet) buildFaults() error {
 	for i, spec := range f.exp.Faults {
 		ft := fault{Fault: spec, randSource: newRandSource(f.exp.Seed, actorFault, i), service: -1}
@@ -209,6 +210,7 @@
 	f.schedule(f.now+int64(f.exp.Sidecar.DrainGrace)+toNanos(min(maxTimeout, maxDrainTimeout)), evDrainEnds, ev.id, e.gen, 0)
 }
 
+// endDrain ends an endpoint that has drained, and schedules its successor.
 func (f *fleet) endDrain(ev *event) {
 	e := &f.endpoints[ev.id]
 	if !e.up || !e.draining || e.gen != ev.gen {
--- a/internal/fleet/measure.go
+++ b/internal/fleet/measure.go
@@ -66,6 +66,7 @@
 	}
 }
 
+// countEnd counts the end of a call for its service and, if a client made it, in the totals and the series.
 func (f *fleet) countEnd(c *call, s status) {
 	if !c.measured {
 		return
@@ -206,6 +207,7 @@
 	startedAt            time.Time
 }
 
+// start begins to time a module event if it is a list event or one of the samples. stop ends it.
 func (m *meter) start(list bool) {
 	if !list {
 		m.events++
--- a/internal/fleet/process.go
+++ b/internal/fleet/process.go
@@ -7,9 +7,10 @@
 	"forkline/internal/deadline"
 )
 
-// Parameters of a real sidecar's network code around the module. internal/sidecar uses the same values.
+// Parameters of a real sidecar's network code around the module. backstopDelay, dialTimeout and idleReuseShare have the
+// values that internal/sidecar uses.
 const (
-	answerSlack         = 50 * time.Millisecond
+	answerSlack         = 50 * time.Millisecond // setting of the module; see checkDrain
 	backstopDelay       = 10 * time.Millisecond // after the module's deadline the sidecar answers; at most half the margin
 	dialTimeout         = 250 * time.Millisecond
 	idleReuseShare      = 0.8                     // share of the idle timeout after which a connection is not reused
@@ -121,6 +122,7 @@
 	return int32(len(f.calls) - 1)
 }
 
+// attemptOf returns the attempt of an event, or nil if it has been freed since the event was scheduled.
 func (f *fleet) attemptOf(ev *event) *attempt {
 	if a := &f.attempts[ev.id]; a.gen == ev.gen && !a.free {
 		return a
@@ -128,6 +130,7 @@
 	return nil
 }
 
+// releaseAttempt frees an attempt unless its sidecar, its endpoint or a message still refers to it.
 func (f *fleet) releaseAttempt(id int32) {
 	a := &f.attempts[id]
 	if !a.open && !a.inTransit && !a.holdsSlot && !a.answerInTransit && !a.free {
@@ -162,6 +165,7 @@
 	f.handleModuleEvent(t, &f.event)
 }
 
+// requestID returns the module's request id of a call.
 func (f *fleet) requestID(c int32) uint32 {
 	return uint32(c) | uint32(f.calls[c].gen%callGenerations)<<callIndexBits
 }
@@ -265,26 +269,26 @@
 	}
 }
 
-// checkDrain counts a send to an endpoint that drains or is removed if the drain grace has passed since the sidecar was
-// notified. The sidecar counts as notified of a state that discovery knows 6 s (deemedNotifiedAfter) after it could reach
-// discovery, whether or not the notification arrived.
+// checkDrain counts a send to an endpoint that drains or is removed if the drain grace and answerSlack have passed since the
+// sidecar was notified. The sidecar counts as notified of a state that discovery knows 6 s (deemedNotifiedAfter) after it
+// could reach discovery, whether or not the notification arrived.
 func (f *fleet) checkDrain(tr *tier, sc *sidecar, e *endpoint, pool *connPool, server uint32) {
-	notified, known := pool.notifiedAt, int64(0)
+	notifiedAt, knownAt := pool.notifiedAt, int64(0)
 	switch uint32(e.gen) - server/uint32(len(f.endpoints)) {
 	case 0:
-		known = e.drainKnownAt
+		knownAt = e.drainKnownAt
 	case 1:
-		known, notified = e.predecessorKnownAt, 0 // later notifications are about the successor
+		knownAt, notifiedAt = e.predecessorKnownAt, 0 // later notifications are about the successor
 	}
-	if known > 0 {
-		deemed := max(known, f.discovery.reachableSince, f.splitEndedAt[sc.region], tr.startedAt) + toNanos(deemedNotifiedAfter)
-		if notified == 0 || deemed < notified {
-			notified = deemed
+	if knownAt > 0 {
+		deemedAt := max(knownAt, f.discovery.reachableSince, f.splitEndedAt[sc.region], tr.startedAt) + toNanos(deemedNotifiedAfter)
+		if notifiedAt == 0 || deemedAt < notifiedAt {
+			notifiedAt = deemedAt
 		}
 	}
 	reachable := f.discovery.responds() && f.discovery.refusingFaults == 0 && f.net.splits[sc.region] == 0
-	if notified > 0 && (reachable || notified == pool.notifiedAt) &&
-		f.now > notified+int64(f.exp.Sidecar.DrainGrace)+toNanos(answerSlack) {
+	if notifiedAt > 0 && (reachable || notifiedAt == pool.notifiedAt) &&
+		f.now > notifiedAt+int64(f.exp.Sidecar.DrainGrace)+toNanos(answerSlack) {
 		f.violations.DrainingSends++
 	}
 }
--- a/internal/fleet/topology.go
+++ b/internal/fleet/topology.go
@@ -259,6 +259,7 @@
 	return nil
 }
 
+// addSidecar adds a sidecar with a tier for each callee and returns its index.
 func (f *fleet) addSidecar(loc location, endpoint int32, callees []int32) int32 {
 	id := int32(len(f.sidecars))
 	sc := sidecar{location: loc, endpoint: endpoint, firstTier: int32(len(f.tiers)), endTier: int32(len(f.tiers) + len(callees)),
