--- a/internal/probe/probe.go
+++ b/internal/probe/probe.go
@@ -181,14 +181,14 @@
 	return o.lowestCost(ctx, func() error { t.changeEntry(n/2, step%3); step++; return nil })
 }
 
-// queuedCallCost returns the processor time of a call that is queued behind n others until the module gives it up, as
-// no server is known.
+// queuedCallCost returns the processor time of a call that is queued behind n others until the module refuses it, as no
+// server is known.
 func queuedCallCost(ctx context.Context, o Options, n int) (float64, error) {
 	t, err := newTier(0, 1)
 	if err != nil {
 		return 0, err
 	}
-	t.interval = targetLatency / float64(n) // calls are given up after targetLatency, so n are queued at a time
+	t.interval = targetLatency / float64(n) // calls are refused after targetLatency, so n are queued at a time
 	for range 2 * n {
 		t.advanceToNextRequest()
 	}
--- a/internal/rig/fanout.go
+++ b/internal/rig/fanout.go
@@ -262,8 +262,8 @@
 
 // ServeDiscovery runs a stand-in discovery with a list of the given number of entries, whose addresses nobody serves. It
 // writes its address to out as the first line. For each line "CHANGES DURATION" of in it makes that many changes a minute
-// for the duration and then writes the line "done". It returns when in ends, or when ctx ends
-// during changes.
+// for the duration and then writes the line "done". It returns when in ends, or when ctx ends during
+// changes.
 func ServeDiscovery(ctx context.Context, entries int, in io.Reader, out io.Writer) error {
 	if entries < 1 {
 		return fmt.Errorf("discovery: invalid list length %d; must be at least 1", entries)
