--- a/cmd/fleetlab/main.go
+++ b/cmd/fleetlab/main.go
@@ -161,11 +161,11 @@
 	if err := level.UnmarshalText([]byte(o.LogLevel)); err != nil || o.Quiet {
 		level = slog.LevelError
 	}
-	set := &slog.HandlerOptions{Level: level}
+	handlerOptions := &slog.HandlerOptions{Level: level}
 	if o.LogFormat == "json" {
-		return slog.New(slog.NewJSONHandler(w, set))
+		return slog.New(slog.NewJSONHandler(w, handlerOptions))
 	}
-	return slog.New(slog.NewTextHandler(w, set))
+	return slog.New(slog.NewTextHandler(w, handlerOptions))
 }
 
 // version returns the revision of the program and the Go release that built it.
