--- a/internal/sidecar/descriptors_test.go
+++ b/internal/sidecar/descriptors_test.go
@@ -15,8 +15,8 @@
 func TestNewConnectionIsClosedWhenAllHaveOpenRequests(t *testing.T) {
 	const maxConns = 4
 	release := make(chan struct{})
-	cfg := config(t, script(t, func(n int, c net.Conn, r *http.Request) bool { <-release; return echo(n, c, r) }).Addr().String())
-	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds())
+	cfg := testConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool { <-release; return echo(n, c, r) }).Addr().String())
+	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(testTimeout.Milliseconds())
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -34,11 +34,11 @@
 		return allOpen
 	})
 	for range 2 {
-		dial(t, s).ends(t)
+		dial(t, s).readUntilClose(t)
 	}
 	close(release)
 	for _, c := range clients {
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
@@ -47,7 +47,7 @@
 // Clients that send only the first bytes of a request, and reconnect as soon as they are disconnected, must not keep
 // other clients out: a new connection is admitted after those that arrived before it.
 func TestIncompleteRequestsDoNotBlockNewClients(t *testing.T) {
-	s, _ := serving(t, func(s *Sidecar) { s.front.downstream.maxConns = 2 * evictionHeadroom })
+	s, _ := startWithRecordingServer(t, func(s *Sidecar) { s.front.downstream.maxConns = 2 * evictionHeadroom })
 	addr := s.listener.Addr().String()
 	for range 4 * evictionHeadroom {
 		go func() {
@@ -69,7 +69,7 @@
 	})
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -21,11 +21,11 @@
 // the discovery address by SIGHUP within notifyLimitAfterMove.
 const notifyLimit, notifyLimitAfterMove = 6 * time.Second, 4 * time.Second
 
-// unhurried returns a policy for tests in real time. All its timeouts are long enough for a busy machine, except the
-// given silence timeout of a watch.
-func unhurried(silence time.Duration) listwatch.Policy {
+// longTimeoutPolicy returns a policy for tests in real time. All its timeouts are long enough for a busy machine, except
+// the given silence timeout of a watch.
+func longTimeoutPolicy(silence time.Duration) listwatch.Policy {
 	return listwatch.Policy{
-		SilenceTimeout: silence, DialTimeout: long, SoftTimeout: long, CallTimeout: long, OldestCallTimeout: long,
+		SilenceTimeout: silence, DialTimeout: testTimeout, SoftTimeout: testTimeout, CallTimeout: testTimeout, OldestCallTimeout: testTimeout,
 		RetryDelay: listwatch.PushPolicy.RetryDelay,
 	}
 }
@@ -189,7 +189,7 @@
 	var clients []*discovery
 	var loops []*loop
 	for i := range copies {
-		cfg := config(t)
+		cfg := testConfig(t)
 		cfg.Seed, cfg.Discovery = uint64(i), "a:1"
 		set := &cfg.Site.Settings
 		set.Copies, set.Rank, set.PollList = copies, i, polled
@@ -331,14 +331,14 @@
 // list.
 func TestManyEndpointsAndCopies(t *testing.T) {
 	const count = 1024
-	cfg := config(t)
+	cfg := testConfig(t)
 	cfg.Site.Settings.Copies, cfg.Site.Settings.Rank = count, count-1
-	addr := script(t, echo).Addr().String()
+	addr := startServer(t, echo).Addr().String()
 	for i := range count {
 		cfg.InitialList.Targets = append(cfg.InitialList.Targets,
 			Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", Kind: "k", State: "Ready"})
 	}
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	countServers := func() (listed, usable int) {
 		s.loop.postAndWait(func() { listed, usable = len(s.loop.serverReady), s.loop.readyServers })
 		return listed, usable
@@ -348,7 +348,7 @@
 		c := dial(t, s)
 		c.id = id
 		c.send("GET", "read", "")
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
--- a/internal/sidecar/exchange_test.go
+++ b/internal/sidecar/exchange_test.go
@@ -62,7 +62,7 @@
 			}
 			defer raw.Close()
 			setBuffer(raw)
-			outgoing := get()
+			outgoing := newGetRequest()
 			outgoing.preamble, outgoing.body = "POST /add/x HTTP/1.1\r\nHost: backend.local\r\n", make([]byte, maxBodyBytes)
 			a := newAttempt(time.Time{})
 			a.lastByteBy = time.Now().Add(100 * time.Millisecond)
@@ -83,13 +83,13 @@
 
 // If there is time, a long retry must wait until the endpoint has acknowledged the bytes before the last one, and succeed.
 func TestLongRetryIsServedInTime(t *testing.T) {
-	ln := script(t, echo)
-	u := pool(ln.Addr().String(), 4)
-	outgoing := get()
+	ln := startServer(t, echo)
+	u := newTestUpstream(ln.Addr().String(), 4)
+	outgoing := newGetRequest()
 	outgoing.preamble, outgoing.body = "POST /add/x HTTP/1.1\r\nHost: backend.local\r\n", make([]byte, maxBodyBytes)
 	a := newAttempt(time.Time{})
-	a.lastByteBy = time.Now().Add(long)
-	if got, _ := u.do(a, u.find(1), outgoing, time.Now().Add(long)); got != forkline.OK {
+	a.lastByteBy = time.Now().Add(testTimeout)
+	if got, _ := u.do(a, u.find(1), outgoing, time.Now().Add(testTimeout)); got != forkline.OK {
 		t.Errorf("outcome %v, want OK", got)
 	}
 }
@@ -108,21 +108,21 @@
 		"unsafe": {atMostOnce: true, want: forkline.OK, open: 2}, // sent on another connection
 	} {
 		t.Run(name, func(t *testing.T) {
-			ln := script(t, func(n int, c net.Conn, r *http.Request) bool {
+			ln := startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 				if n > 0 {
 					return echo(n, c, r)
 				}
 				io.WriteString(c, notRun) // for the second request this is the duplicate
 				return true
 			})
-			u := pool(ln.Addr().String(), 4)
-			if got, _ := attemptOn(u, long); got != forkline.Rejected {
+			u := newTestUpstream(ln.Addr().String(), 4)
+			if got, _ := doAttempt(u, testTimeout); got != forkline.Rejected {
 				t.Fatalf("outcome %v of the first request", got)
 			}
 			first := u.find(1).idle[0]
-			outgoing := get()
+			outgoing := newGetRequest()
 			outgoing.atMostOnce, outgoing.safe = c.atMostOnce, c.safe
-			if got, _ := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(long)); got != c.want {
+			if got, _ := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(testTimeout)); got != c.want {
 				t.Errorf("outcome %v, want %v", got, c.want)
 			}
 			pooled := slices.Contains(u.find(1).idle, first)
@@ -152,7 +152,7 @@
 		}()
 		a := newAttempt(time.Time{})
 		c := &conn{Conn: local, reader: bufio.NewReader(local)}
-		if got, _, _ := exchange(a, c, get(), time.Now().Add(long), 0); got != forkline.OK || a.serviceTime != serviceTime {
+		if got, _, _ := exchange(a, c, newGetRequest(), time.Now().Add(testTimeout), 0); got != forkline.OK || a.serviceTime != serviceTime {
 			t.Errorf("outcome %v, service time %v, want %v", got, a.serviceTime, serviceTime)
 		}
 	})
@@ -160,8 +160,8 @@
 
 // An attempt must report when it starts and stops waiting for a new connection, and whether its connection is new.
 func TestAttemptsReportNewConnections(t *testing.T) {
-	ln := script(t, echo)
-	u := pool(ln.Addr().String(), 4)
+	ln := startServer(t, echo)
+	u := newTestUpstream(ln.Addr().String(), 4)
 	for i, want := range []struct {
 		outcome       forkline.Outcome
 		reported      []bool
@@ -178,7 +178,7 @@
 		var reported []bool
 		a := newAttempt(time.Time{})
 		a.onConnecting = func(connecting bool) { reported = append(reported, connecting) }
-		got, _ := u.do(a, u.find(1), get(), time.Now().Add(long))
+		got, _ := u.do(a, u.find(1), newGetRequest(), time.Now().Add(testTimeout))
 		if got != want.outcome || !slices.Equal(reported, want.reported) || a.newConnection != want.newConnection {
 			t.Errorf("attempt %d: outcome %v, reports %v, new connection %v; want %+v", i, got, reported, a.newConnection, want)
 		}
@@ -187,16 +187,16 @@
 
 // The loop must pass on to the module that an attempt waits for a new connection.
 func TestLoopReceivesConnectionReports(t *testing.T) {
-	ln := script(t, echo)
-	cfg := config(t)
-	u := pool(ln.Addr().String(), 4)
+	ln := startServer(t, echo)
+	cfg := testConfig(t)
+	u := newTestUpstream(ln.Addr().String(), 4)
 	l, err := newLoop(&cfg, u)
 	if err != nil {
 		t.Fatal(err)
 	}
 	// An attempt on a new connection posts connecting, connected and its outcome, one on a reused connection only its outcome.
 	for i, events := range []int{3, 1} {
-		l.send(&call{outgoing: *get(), respond: func(response) {}}, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: l.now() + 1e6})
+		l.send(&call{outgoing: *newGetRequest(), respond: func(response) {}}, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: l.now() + 1e6})
 		for range events {
 			(<-l.queue)()
 		}
--- a/internal/sidecar/front_test.go
+++ b/internal/sidecar/front_test.go
@@ -11,11 +11,12 @@
 	"time"
 )
 
-// serving starts a sidecar with one endpoint. It returns a channel with the IDs of the requests that reach the endpoint.
-func serving(t *testing.T, change func(*Sidecar)) (*Sidecar, chan string) {
+// startWithRecordingServer starts a sidecar with one endpoint, which serves every request. It returns the sidecar and the
+// IDs of the requests that reach the endpoint. If configure is not nil, it is called before the sidecar runs.
+func startWithRecordingServer(t *testing.T, configure func(*Sidecar)) (*Sidecar, chan string) {
 	t.Helper()
 	received := make(chan string, 1000)
-	s, err := New(patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	s, err := New(longTimeoutConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		received <- r.Header.Get("X-Request-Id")
 		return echo(n, c, r)
 	}).Addr().String()))
@@ -23,17 +24,17 @@
 		t.Fatal(err)
 	}
 	s.cachedListDelay = 0
-	if change != nil {
-		change(s)
+	if configure != nil {
+		configure(s)
 	}
 	go s.Run(t.Context())
 	return s, received
 }
 
-// ends waits until the sidecar closes the connection and returns everything that it wrote.
-func (c *client) ends(t *testing.T) string {
+// readUntilClose waits until the sidecar closes the connection and returns everything that it wrote.
+func (c *client) readUntilClose(t *testing.T) string {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(long))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	text, err := io.ReadAll(c.reader)
 	if e, ok := err.(net.Error); ok && e.Timeout() {
 		t.Fatalf("the connection is still open after %q", text)
@@ -44,7 +45,7 @@
 // A request that is ambiguous or cannot be parsed must get an error and must not be forwarded, and its connection must be
 // closed: the bytes after it may contain a smuggled request.
 func TestUnparsableRequestEndsTheConnection(t *testing.T) {
-	s, received := serving(t, nil)
+	s, received := startWithRecordingServer(t, nil)
 	hidden := "GET /read/x HTTP/1.1\r\nHost: b\r\nX-Class: read\r\nX-Request-Id: hidden\r\n\r\n"
 	pay := "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\n"
 	for name, c := range map[string]struct {
@@ -65,7 +66,7 @@
 	} {
 		conn := dial(t, s)
 		io.WriteString(conn, c.text)
-		if got := conn.ends(t); !strings.HasPrefix(got, fmt.Sprint("HTTP/1.1 ", c.want)) || strings.Count(got, "HTTP/1.1") != 1 {
+		if got := conn.readUntilClose(t); !strings.HasPrefix(got, fmt.Sprint("HTTP/1.1 ", c.want)) || strings.Count(got, "HTTP/1.1") != 1 {
 			t.Errorf("%s: response %q, want one with status %d", name, got, c.want)
 		}
 	}
@@ -76,7 +77,7 @@
 
 // An error response must reach a client that is still sending, and must stop it.
 func TestErrorReachesSendingClient(t *testing.T) {
-	s, _ := serving(t, nil)
+	s, _ := startWithRecordingServer(t, nil)
 	c := dial(t, s)
 	go func() {
 		fmt.Fprint(c, "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nContent-Length: 60000000\r\n\r\n")
@@ -86,7 +87,7 @@
 			}
 		}
 	}()
-	c.SetReadDeadline(time.Now().Add(long))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if res, err := http.ReadResponse(c.reader, nil); err != nil || res.StatusCode != 413 {
 		t.Errorf("response %v, error %v; want status 413", res, err)
 	}
@@ -94,7 +95,7 @@
 
 // Connections of clients that send nothing, send only part of a request or stay idle must be closed.
 func TestIdleConnectionsAreClosed(t *testing.T) {
-	s, received := serving(t, func(s *Sidecar) { s.front.requestTimeout = 20 * time.Millisecond })
+	s, received := startWithRecordingServer(t, func(s *Sidecar) { s.front.requestTimeout = 20 * time.Millisecond })
 	for name, text := range map[string]string{
 		"silent":       "",
 		"partial head": "POST /pay/x HTTP/1.1\r\nHost:",
@@ -102,7 +103,7 @@
 	} {
 		c := dial(t, s)
 		io.WriteString(c, text)
-		if got := c.ends(t); got != "" {
+		if got := c.readUntilClose(t); got != "" {
 			t.Errorf("%s: response %q, want none", name, got)
 		}
 	}
@@ -111,10 +112,10 @@
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
-	c.ends(t)
+	c.readUntilClose(t)
 	s.front.downstream.mu.Lock()
 	defer s.front.downstream.mu.Unlock()
 	if n := s.front.downstream.idle.Len(); n > s.front.downstream.openConns {
@@ -125,7 +126,7 @@
 // While a request is open, a second request with the same ID must be rejected and must not affect the first.
 func TestDuplicateIDOfOpenRequest(t *testing.T) {
 	release, received := make(chan struct{}), make(chan struct{}, 10)
-	s := start(t, config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	s := startSidecar(t, testConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		received <- struct{}{}
 		<-release
 		return echo(n, c, r)
@@ -134,15 +135,15 @@
 	first.send("GET", "read", "")
 	<-received
 	second.send("GET", "read", "")
-	if res, _ := second.answer(t); res.StatusCode != http.StatusConflict || !res.Close {
+	if res, _ := second.readResponse(t); res.StatusCode != http.StatusConflict || !res.Close {
 		t.Errorf("status %d, close %v; want 409 and a closed connection", res.StatusCode, res.Close)
 	}
 	close(release)
-	if res, _ := first.answer(t); res.StatusCode != 200 {
+	if res, _ := first.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d of the first request, want 200", res.StatusCode)
 	}
 	first.send("GET", "read", "") // the ID can be used again
-	if res, _ := first.answer(t); res.StatusCode != 200 {
+	if res, _ := first.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d of a later request with the same ID, want 200", res.StatusCode)
 	}
 }
@@ -151,16 +152,16 @@
 // fail.
 func TestRequestWithClientErrorIsTriedOnce(t *testing.T) {
 	received := make(chan struct{}, 10)
-	rejecting := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	rejecting := startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		received <- struct{}{}
 		io.WriteString(c, "HTTP/1.1 400 Bad Request\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	s := start(t, config(t, rejecting.Addr().String()))
+	s := startSidecar(t, testConfig(t, rejecting.Addr().String()))
 	for range 5 {
 		c := dial(t, s)
 		c.send("GET", "read", "")
-		if res, _ := c.answer(t); res.StatusCode != 400 || !res.Close {
+		if res, _ := c.readResponse(t); res.StatusCode != 400 || !res.Close {
 			t.Errorf("status %d, close %v; want 400 and a closed connection", res.StatusCode, res.Close)
 		}
 	}
@@ -172,16 +173,16 @@
 // A call that has ended must be forgotten at once, not at its deadline. Otherwise every request body would stay in memory
 // for seconds.
 func TestEndedCallsAreForgotten(t *testing.T) {
-	s, _ := serving(t, nil)
+	s, _ := startWithRecordingServer(t, nil)
 	c := dial(t, s)
 	for i := range 20 {
 		c.id = fmt.Sprint(i)
 		c.send("POST", "pay", "body")
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
-	for remaining, end := 1, time.Now().Add(long); remaining > 0; {
+	for remaining, end := 1, time.Now().Add(testTimeout); remaining > 0; {
 		s.loop.postAndWait(func() {
 			remaining = len(s.loop.calls) + len(s.loop.callsByID)
 			for _, entry := range s.loop.timerQueue {
@@ -198,16 +199,16 @@
 
 // A client that sends Expect: 100-continue must get the interim response before it sends the body.
 func TestExpectContinue(t *testing.T) {
-	s, _ := serving(t, nil)
+	s, _ := startWithRecordingServer(t, nil)
 	c := dial(t, s)
 	fmt.Fprint(c, "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: 1\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n")
-	c.SetReadDeadline(time.Now().Add(long))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if line, _ := c.reader.ReadString('\n'); !strings.HasPrefix(line, "HTTP/1.1 100") {
 		t.Fatalf("status line %q, want status 100", line)
 	}
 	c.reader.ReadString('\n')
 	io.WriteString(c, "hi")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
--- a/internal/sidecar/leaving_test.go
+++ b/internal/sidecar/leaving_test.go
@@ -75,7 +75,7 @@
 	withConnWrapper(func(c *net.TCPConn) net.Conn { serverConns <- c; return c })(s)
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.Run(ctx)
-	t.Cleanup(func() { s.discovery.move(nowhere()); s.front.drainAcceptTime = 0; cancel() })
+	t.Cleanup(func() { s.discovery.move(silentAddr()); s.front.drainAcceptTime = 0; cancel() })
 	eventually(t, "the list", func() (applied bool) {
 		s.loop.postAndWait(func() { applied = len(s.loop.serverReady) > 0 })
 		return applied
@@ -127,7 +127,7 @@
 	c := dial(t, s)
 	c.id = "mark"
 	c.send("GET", "read", "")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d for a new request", res.StatusCode)
 	}
 	if id := <-received; id != "mark" {
@@ -138,7 +138,7 @@
 // recordingServer starts an endpoint that serves every request. It returns its address and the ids of the requests.
 func recordingServer(t *testing.T) (string, chan string) {
 	received := make(chan string, 100)
-	return script(t, func(n int, c net.Conn, r *http.Request) bool {
+	return startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		received <- r.Header.Get("X-Request-Id")
 		return echo(n, c, r)
 	}).Addr().String(), received
@@ -149,7 +149,7 @@
 	for mode, how := range disconnectModes {
 		t.Run(mode, func(t *testing.T) {
 			addr, received := recordingServer(t)
-			s, connect := startTracked(t, patient(t, addr), nil)
+			s, connect := startTracked(t, longTimeoutConfig(t, addr), nil)
 			occupied := occupyLoop(s)
 			c := connect("left")
 			c.send("GET", "read", "")
@@ -171,7 +171,7 @@
 			for _, fullQueue := range []bool{false, true} {
 				t.Run(fmt.Sprint(mode, "/", pipelined, "/full queue ", fullQueue), func(t *testing.T) {
 					addr, received := recordingServer(t)
-					cfg := patient(t, addr)
+					cfg := longTimeoutConfig(t, addr)
 					cfg.InitialList.Targets[0].State = "Terminating"
 					s, connect := startTracked(t, cfg, nil)
 					c := connect("left")
@@ -201,10 +201,10 @@
 // open forever: the limit on open attempts would then leave no capacity for a new request.
 func TestManyDisconnectsWhileQueued(t *testing.T) {
 	addr, received := recordingServer(t)
-	cfg := patient(t, addr)
+	cfg := longTimeoutConfig(t, addr)
 	cfg.InitialList.Targets[0].State = "Terminating"
 	s, connect := startTracked(t, cfg, nil)
-	for startedAttempts, end := 0, time.Now().Add(long); startedAttempts < 50; {
+	for startedAttempts, end := 0, time.Now().Add(testTimeout); startedAttempts < 50; {
 		if time.Now().After(end) {
 			t.Fatalf("the module started only %d attempts", startedAttempts)
 		}
@@ -235,7 +235,7 @@
 // The client disconnects while the connection for its request is slow to be established.
 func TestDisconnectWhileDialing(t *testing.T) {
 	ln, filler := listenWithFullBacklog(t)
-	s, connect := startTracked(t, patient(t, ln.Addr().String()), func(s *Sidecar) {
+	s, connect := startTracked(t, longTimeoutConfig(t, ln.Addr().String()), func(s *Sidecar) {
 		s.loop.upstream.firstByteTimeout = 0 // or the attempt would be too late
 	})
 	c := connect("left")
@@ -271,7 +271,7 @@
 
 // The client of a request that must not run twice disconnects when all of the request but its last byte is written.
 func TestDisconnectBeforeLastByte(t *testing.T) {
-	ln, started, resume, received := listen(t), make(chan struct{}, 10), make(chan struct{}), make(chan string, 10)
+	ln, started, resume, received := listenLoopback(t), make(chan struct{}, 10), make(chan struct{}), make(chan string, 10)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -296,7 +296,7 @@
 			}()
 		}
 	}()
-	cfg := patient(t, ln.Addr().String())
+	cfg := longTimeoutConfig(t, ln.Addr().String())
 	cfg.Site.Settings.Classes[1].TargetLatency, cfg.Site.Settings.Classes[1].Timeout = 100000, 100000
 	s, connect := startTracked(t, cfg, func(s *Sidecar) { s.loop.upstream.breakCheckTime = time.Hour })
 	c := connect("left")
@@ -323,7 +323,7 @@
 				io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				return true
 			}
-			s, connect := startTracked(t, patient(t, script(t, respond).Addr().String(), script(t, respond).Addr().String()), nil)
+			s, connect := startTracked(t, longTimeoutConfig(t, startServer(t, respond).Addr().String(), startServer(t, respond).Addr().String()), nil)
 			c := connect("left")
 			c.send("GET", "read", "")
 			<-received
@@ -344,7 +344,7 @@
 // The client disconnects while its retry waits for the end of the original request, just as that ends.
 func TestDisconnectOfRetryAsOriginalEnds(t *testing.T) {
 	received, release := make(chan string, 10), make(chan struct{})
-	s, connect := startTracked(t, patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	s, connect := startTracked(t, longTimeoutConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		if received <- r.Header.Get("X-Request-Id"); n == 0 {
 			<-release // until the first attempt is canceled
 		}
@@ -386,7 +386,7 @@
 // and be served: it must not be rejected as a duplicate, as the clients of the other two have disconnected.
 func TestSecondRetryIsServed(t *testing.T) {
 	received, release := make(chan string, 10), make(chan struct{})
-	s, connect := startTracked(t, patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	s, connect := startTracked(t, longTimeoutConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		if received <- r.Header.Get("X-Request-Id"); n == 0 {
 			<-release // until the first attempt is canceled
 		}
@@ -441,9 +441,9 @@
 		w := &writeRecorder{Conn: local, onWrite: func() { written++ }}
 		a := newAttempt(time.Time{})
 		a.clientDisconnected = func() bool { return written >= disconnectAfter }
-		outgoing := get()
+		outgoing := newGetRequest()
 		outgoing.body = bytes.Repeat([]byte("x"), maxBodyBytes)
-		got, resp, reusable := exchange(a, &conn{Conn: w, reader: bufio.NewReader(w)}, outgoing, time.Now().Add(long), 0)
+		got, resp, reusable := exchange(a, &conn{Conn: w, reader: bufio.NewReader(w)}, outgoing, time.Now().Add(testTimeout), 0)
 		if got != forkline.NotSent || resp != nil || reusable != (disconnectAfter == 0) || written != disconnectAfter {
 			t.Errorf("%s: outcome %v, reusable %v after %d writes", name, got, reusable, written)
 		}
@@ -459,9 +459,9 @@
 // A request must be able to reuse the id of a request whose client has disconnected, and to replace a retry that waits
 // under that id and whose client has disconnected too, even before the loop is notified of either disconnect.
 func TestIDOfDisconnectedRequestIsReusable(t *testing.T) {
-	cfg := patient(t, "127.0.0.1:1")
+	cfg := longTimeoutConfig(t, "127.0.0.1:1")
 	cfg.InitialList.Targets[0].State = "Terminating"
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	statuses := make(chan int, 10)
 	newCall := func() (*call, *bool) {
 		disconnected := false
@@ -518,7 +518,7 @@
 		return e != nil && e.Value.(*downstreamConn).hasUnread()
 	})
 	close(resume)
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
@@ -539,14 +539,14 @@
 		"late":                func(a *attempt) { a.firstByteBy = time.Now().Add(-time.Second) },
 	} {
 		addr, received := recordingServer(t)
-		u := pool(addr, 4)
-		if got, _ := attemptOn(u, long); got != forkline.OK {
+		u := newTestUpstream(addr, 4)
+		if got, _ := doAttempt(u, testTimeout); got != forkline.OK {
 			t.Fatalf("outcome %v", got)
 		}
 		u.find(1).idle[0].idleSince = time.Now().Add(-time.Second)
 		a := newAttempt(time.Time{})
 		change(a)
-		u.do(a, u.find(1), get(), time.Now().Add(long))
+		u.do(a, u.find(1), newGetRequest(), time.Now().Add(testTimeout))
 		if u.openConns != 0 || len(received) != 1 {
 			t.Errorf("%s: %d connections are kept after %d requests", name, u.openConns, len(received))
 		}
@@ -582,13 +582,13 @@
 	for i := range 3 {
 		fmt.Fprintf(c, "POST /pay/x HTTP/1.1\r\nHost: b\r\nX-Class: pay\r\nX-Request-Id: %d\r\n"+
 			"Expect: 100-continue\r\nContent-Length: 2\r\n\r\n", i)
-		c.SetReadDeadline(time.Now().Add(long))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		if line, err := c.reader.ReadString('\n'); !strings.HasPrefix(line, "HTTP/1.1 100") {
 			t.Fatalf("%q, %v", line, err)
 		}
 		c.reader.ReadString('\n')
 		io.WriteString(c, "hi")
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
@@ -604,12 +604,12 @@
 		"between chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
 		"half a refusal": "HTTP/1.1 503 U\r\nX-Not-Run: 1\r\nContent-Length: 5\r\n\r\n",
 	} {
-		ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+		ln := startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, text)
 			c.(*net.TCPConn).SetLinger(0)
 			return false
 		})
-		if got, a := attemptOn(pool(ln.Addr().String(), 4), long); got != forkline.Reset || a != nil {
+		if got, a := doAttempt(newTestUpstream(ln.Addr().String(), 4), testTimeout); got != forkline.Reset || a != nil {
 			t.Errorf("%s: outcome %v, response %v", name, got, a)
 		}
 	}
--- a/internal/sidecar/margin_test.go
+++ b/internal/sidecar/margin_test.go
@@ -14,10 +14,10 @@
 	"forkline"
 )
 
-// socketless runs f with a front and its loop, without sockets and in virtual time. Virtual time does not advance while
-// code runs, so sleeps stand for the time that code takes on a busy core. The sidecar has no server list.
-func socketless(t *testing.T, f func(t *testing.T, front *front)) {
-	cfg := config(t)
+// withoutSockets runs f with a front and its loop, without sockets and in virtual time. Virtual time does not advance
+// while code runs, so sleeps stand for the time that code takes on a busy core. The sidecar has no server list.
+func withoutSockets(t *testing.T, f func(t *testing.T, front *front)) {
+	cfg := testConfig(t)
 	synctest.Test(t, func(t *testing.T) {
 		l, err := newLoop(&cfg, newUpstream(forkline.Limits{}, 0, 4))
 		if err != nil {
@@ -101,7 +101,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			socketless(t, func(t *testing.T, f *front) {
+			withoutSockets(t, func(t *testing.T, f *front) {
 				makeCalls(t, f, 2*time.Second)
 				causeDelay(t, f)
 				synctest.Wait()
@@ -116,7 +116,7 @@
 // The margin must be small on an idle core. On a core where each event waits for 30 ms it must be as large as before the
 // first measurement, but only as long as the core is busy.
 func TestMarginFollowsTheLoadOfTheCore(t *testing.T) {
-	socketless(t, func(t *testing.T, f *front) {
+	withoutSockets(t, func(t *testing.T, f *front) {
 		reserved := func() float64 { return f.loop.margin.reserve(2000) }
 		if got := reserved(); got != 50 {
 			t.Errorf("%v ms are reserved before anything was measured, want 50", got)
@@ -146,7 +146,7 @@
 
 // The X-Deadline sent to an endpoint must be at most the remaining time of the client, in any notation.
 func TestForwardedDeadlineIsAtMostTheRemainingTime(t *testing.T) {
-	socketless(t, func(t *testing.T, f *front) {
+	withoutSockets(t, func(t *testing.T, f *front) {
 		for _, idle := range []bool{false, true} {
 			if idle {
 				makeCalls(t, f, 2*time.Second)
@@ -186,7 +186,7 @@
 
 // A call that the module does not answer must be answered before the client times out, even if the margin is small.
 func TestBackstopAnswersBeforeTheClientTimesOut(t *testing.T) {
-	socketless(t, func(t *testing.T, f *front) {
+	withoutSockets(t, func(t *testing.T, f *front) {
 		for _, idle := range []bool{false, true} {
 			if idle {
 				makeCalls(t, f, 2*time.Second)
--- a/internal/sidecar/names_test.go
+++ b/internal/sidecar/names_test.go
@@ -55,18 +55,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := config(t)
+	cfg := testConfig(t)
 	if cfg.Site, err = wire.ParseSite(text); err != nil {
 		t.Fatal(err)
 	}
 	zones, kinds := append(slices.Clone(n.zones), "unnamed"), append(slices.Clone(n.kinds), "unnamed")
 	for i := range max(len(zones), len(kinds)) {
 		cfg.InitialList.Targets = append(cfg.InitialList.Targets, Target{
-			UID: fmt.Sprint("s-", i), Endpoint: script(t, echo).Addr().String(),
+			UID: fmt.Sprint("s-", i), Endpoint: startServer(t, echo).Addr().String(),
 			Zone: zones[i%len(zones)], Kind: kinds[i%len(kinds)], State: "Ready",
 		})
 	}
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	c := dial(t, s)
 	for i, class := range n.classes {
 		for j, tenant := range append(slices.Clone(n.tenants), "unnamed") {
@@ -77,13 +77,13 @@
 			id := fmt.Sprint(i, "-", j)
 			fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: b\r\nX-Class: %s\r\nX-Tenant: %s\r\nX-Request-Id: %s\r\n"+
 				"Idempotency-Key: k\r\nContent-Length: 0\r\n\r\n", methods[i%3], path, class, tenant, id)
-			if res, body := c.answer(t); res.StatusCode != 200 || body != fmt.Sprint(methods[i%3], " ", path, " ", id, " k") {
+			if res, body := c.readResponse(t); res.StatusCode != 200 || body != fmt.Sprint(methods[i%3], " ", path, " ", id, " k") {
 				t.Fatalf("class %q, tenant %q: status %d, body %q", class, tenant, res.StatusCode, body)
 			}
 		}
 	}
 	c.send("GET", "unnamed", "")
-	if res, _ := c.answer(t); res.StatusCode != 404 {
+	if res, _ := c.readResponse(t); res.StatusCode != 404 {
 		t.Errorf("status %d of an unknown class, want 404", res.StatusCode)
 	}
 }
--- a/internal/sidecar/race_test.go
+++ b/internal/sidecar/race_test.go
@@ -24,7 +24,7 @@
 // eventually waits until the condition holds and fails the test if that takes too long. The text says what is awaited.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !condition(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("timed out waiting for " + what)
 		}
@@ -34,8 +34,8 @@
 // The loop and discovery must not deadlock: a watch posts a list while the loop's queue is full, and an address change,
 // as after SIGHUP, is in that queue.
 func TestSetDiscoveryAddrWithFullQueue(t *testing.T) {
-	cfg := config(t)
-	cfg.Discovery = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	cfg := testConfig(t)
+	cfg.Discovery = startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n{\"rev\":8}\n")
 		return true
 	}).Addr().String()
@@ -45,7 +45,7 @@
 	}
 	s.cachedListDelay = 0
 	defer close(s.loop.done)
-	s.SetDiscoveryAddr(listen(t).Addr().String())
+	s.SetDiscoveryAddr(listenLoopback(t).Addr().String())
 	s.SetDiscoveryAddr(cfg.Discovery)
 	for len(s.loop.queue) < cap(s.loop.queue) {
 		s.loop.queue <- func() {}
@@ -65,7 +65,7 @@
 	go func() { s.loop.postAndWait(func() {}); close(ran) }()
 	select {
 	case <-ran:
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("the loop is deadlocked")
 	}
 }
@@ -75,18 +75,18 @@
 func TestDiscoveryAddrChangedAndRestored(t *testing.T) {
 	calls, ended, done := make(chan int, 100), make(chan int, 100), make(chan struct{})
 	defer close(done)
-	addr := script(t, func(n int, c net.Conn, _ *http.Request) bool {
+	addr := startServer(t, func(n int, c net.Conn, _ *http.Request) bool {
 		calls <- n
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n\n")
 		c.Read(make([]byte, 1))
 		ended <- n
 		return false
 	}).Addr().String()
-	d := &discovery{policy: unhurried(long), addr: addr, onList: func(List) {}, onFailed: func() {}}
+	d := &discovery{policy: longTimeoutPolicy(testTimeout), addr: addr, onList: func(List) {}, onFailed: func() {}}
 	firstReturned := make(chan struct{})
 	go func() { d.follow(t.Context()); close(firstReturned) }()
 	<-calls
-	if !d.move(listen(t).Addr().String()) || !d.move(addr) {
+	if !d.move(listenLoopback(t).Addr().String()) || !d.move(addr) {
 		t.Fatal("move reports that the address did not change")
 	}
 	go d.follow(t.Context())
@@ -100,7 +100,7 @@
 	case <-firstReturned:
 	case n := <-calls:
 		t.Fatalf("watch %d was started while the second one is active", n)
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("the first follow has not returned")
 	}
 }
@@ -161,7 +161,7 @@
 // The read deadline that wakes a connection's goroutine for a response must not abort the reading of the next request,
 // which may have been sent right behind the first.
 func TestResponseWakeupDoesNotAbortNextRequest(t *testing.T) {
-	s, received := serving(t, withConnWrapper(func(c *net.TCPConn) net.Conn {
+	s, received := startWithRecordingServer(t, withConnWrapper(func(c *net.TCPConn) net.Conn {
 		return &delayedDeadlineConn{c, make(chan struct{}, 1), make(chan struct{}, 1)}
 	}))
 	c := dial(t, s)
@@ -170,7 +170,7 @@
 		c.send("GET", "read", "")
 	}
 	for range 2 {
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Errorf("status %d after request %s", res.StatusCode, <-received)
 		}
 	}
@@ -219,11 +219,11 @@
 	resume       func(*testing.T) // ends the wait and checks that nothing but a new request is sent
 }
 
-// patient returns the configuration of a sidecar whose read requests may wait for longer than any test takes.
-func patient(t *testing.T, addrs ...string) Config {
-	cfg := config(t, addrs...)
+// longTimeoutConfig is like testConfig, but the timeout of read requests is longer than any test takes.
+func longTimeoutConfig(t *testing.T, addrs ...string) Config {
+	cfg := testConfig(t, addrs...)
 	c := &cfg.Site.Settings.Classes[0]
-	c.TargetLatency, c.Timeout = 10*float64(long.Milliseconds()), 10*float64(long.Milliseconds())
+	c.TargetLatency, c.Timeout = 10*float64(testTimeout.Milliseconds()), 10*float64(testTimeout.Milliseconds())
 	cfg.Site.Settings.Limits.ConnectTimeout = c.Timeout
 	return cfg
 }
@@ -262,12 +262,12 @@
 // queuedScenario lists the only endpoint as draining, so that the request is queued.
 func queuedScenario(t *testing.T) *waitScenario {
 	received := make(chan string, 10)
-	cfg := patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	cfg := longTimeoutConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		received <- r.Header.Get("X-Request-Id")
 		return echo(n, c, r)
 	}).Addr().String())
 	cfg.InitialList.Targets[0].State = "Terminating"
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	return &waitScenario{s, func() {
 		awaitCall(t, s, func(c *call) bool { return len(c.attempts) == 0 })
 	}, func(t *testing.T) { setServerState(s, &cfg, "Ready"); expectOnlyMarker(t, s, received) }}
@@ -279,7 +279,7 @@
 	var s *Sidecar
 	var cfg Config
 	received := make(chan string, 10)
-	cfg = patient(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	cfg = longTimeoutConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		received <- r.Header.Get("X-Request-Id")
 		if len(received) == 1 && n == 0 {
 			setServerState(s, &cfg, "Terminating")
@@ -288,7 +288,7 @@
 		}
 		return echo(n, c, r)
 	}).Addr().String())
-	s = start(t, cfg)
+	s = startSidecar(t, cfg)
 	return &waitScenario{s, func() {
 		awaitCall(t, s, func(c *call) bool { return len(c.attempts) == 1 && c.openAttempts == 0 })
 	}, func(t *testing.T) {
@@ -302,7 +302,7 @@
 // filler is closed.
 func listenWithFullBacklog(t *testing.T) (ln net.Listener, filler net.Conn) {
 	t.Helper()
-	ln = listen(t)
+	ln = listenLoopback(t)
 	raw, err := ln.(*net.TCPListener).SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -322,7 +322,7 @@
 // dialingScenario has an endpoint whose backlog is full, so that no connection to it is established.
 func dialingScenario(t *testing.T) *waitScenario {
 	ln, _ := listenWithFullBacklog(t)
-	s := start(t, patient(t, ln.Addr().String()))
+	s := startSidecar(t, longTimeoutConfig(t, ln.Addr().String()))
 	return &waitScenario{s, func() {
 		awaitCall(t, s, func(c *call) bool { return c.openAttempts == 1 })
 	}, func(t *testing.T) {
@@ -337,9 +337,9 @@
 // A second request with the id of an open one is rejected just as its client disconnects. That must not release the id:
 // a third request with it would be sent while the first is open.
 func TestDisconnectOfRejectedDuplicateKeepsID(t *testing.T) {
-	cfg := patient(t, "127.0.0.1:1")
+	cfg := longTimeoutConfig(t, "127.0.0.1:1")
 	cfg.InitialList.Targets[0].State = "Terminating"
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	statuses := make(chan int, 3)
 	newCall := func() *call {
 		return &call{id: "id", event: forkline.Event{Deadline: s.loop.now() + 1e6}, respond: func(a response) { statuses <- a.status }}
@@ -386,7 +386,7 @@
 		wantStatus, wantSends int
 	}{{"GET", "read", 200, 2}, {"POST", "pay", statusFailed, 1}} {
 		received, release := make(chan struct{}, 10), make(chan struct{})
-		s := start(t, config(t, script(t, func(n int, conn net.Conn, r *http.Request) bool {
+		s := startSidecar(t, testConfig(t, startServer(t, func(n int, conn net.Conn, r *http.Request) bool {
 			if received <- struct{}{}; len(received) == 1 {
 				<-release
 			}
@@ -409,7 +409,7 @@
 			return waits
 		})
 		s.loop.post(func() { original.openAttempts--; s.loop.release(original) })
-		if res, _ := second.answer(t); res.StatusCode != c.wantStatus || len(received) != c.wantSends {
+		if res, _ := second.readResponse(t); res.StatusCode != c.wantStatus || len(received) != c.wantSends {
 			t.Errorf("%s: status %d after %d sends, want %d after %d", c.class, res.StatusCode, len(received), c.wantStatus, c.wantSends)
 		}
 		close(release)
@@ -422,7 +422,7 @@
 // startWithoutDrain runs the parts of a sidecar as Run does, for a test that drains it itself.
 func startWithoutDrain(t *testing.T, respond func(n int, c net.Conn, r *http.Request) bool, configure func(*Sidecar)) *Sidecar {
 	t.Helper()
-	cfg := config(t, script(t, respond).Addr().String())
+	cfg := testConfig(t, startServer(t, respond).Addr().String())
 	cfg.Site.Settings.Classes[1].Timeout = 60000 // ms; long enough that no wait ends by it
 	s, err := New(cfg)
 	if err != nil {
@@ -474,7 +474,7 @@
 	go func() { s.listener.Close(); s.front.downstream.drain(time.Now()); close(drained) }()
 	select {
 	case <-drained:
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Error("the drain waits for a connection that has not been admitted")
 	}
 }
@@ -487,9 +487,9 @@
 	sendFirstHalf(t, s, c)
 	s.listener.Close()
 	drained := make(chan struct{})
-	go func() { s.front.downstream.drain(time.Now().Add(long)); close(drained) }()
+	go func() { s.front.downstream.drain(time.Now().Add(testTimeout)); close(drained) }()
 	io.WriteString(c, requestSecondHalf)
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 	<-drained
@@ -553,7 +553,7 @@
 			})
 			closeIdle(s.front.downstream)
 			close(resume)
-			if res, _ := c.answer(t); res.StatusCode != 200 {
+			if res, _ := c.readResponse(t); res.StatusCode != 200 {
 				t.Errorf("%s, delayed after read %v: status %d", name, afterRead, res.StatusCode)
 			}
 		}
@@ -564,7 +564,7 @@
 // waits until there is capacity.
 func TestPartialRequestsAreNotEvicted(t *testing.T) {
 	accepted := make(chan struct{}, 2*evictionHeadroom+1)
-	s, _ := serving(t, func(s *Sidecar) {
+	s, _ := startWithRecordingServer(t, func(s *Sidecar) {
 		s.front.downstream.maxConns, s.front.downstream.slowRequestTime, s.front.requestTimeout = 2*evictionHeadroom, time.Hour, time.Hour
 		withConnWrapper(func(c *net.TCPConn) net.Conn { accepted <- struct{}{}; return c })(s)
 	})
@@ -581,11 +581,11 @@
 	}
 	for i, c := range clients {
 		fmt.Fprintf(c, "X-Request-Id: %d\r\n\r\n", i)
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Errorf("status %d", res.StatusCode)
 		}
 	}
-	if res, _ := waiting.answer(t); res.StatusCode != 200 {
+	if res, _ := waiting.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d for the client that waited", res.StatusCode)
 	}
 }
@@ -611,7 +611,7 @@
 func TestCloseDoesNotOvertakeLastResponse(t *testing.T) {
 	closing := make(chan struct{}, 1)
 	body := strings.Repeat("x", maxBodyBytes)
-	s, err := New(config(t, script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	s, err := New(testConfig(t, startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 		return true
 	}).Addr().String()))
@@ -629,7 +629,7 @@
 	c.send("GET", "read", "", "Connection: close")
 	c.send("GET", "read", strings.Repeat("y", 16<<10))
 	<-closing
-	if res, got := c.answer(t); res.StatusCode != 200 || got != body {
+	if res, got := c.readResponse(t); res.StatusCode != 200 || got != body {
 		t.Errorf("status %d, %d bytes", res.StatusCode, len(got))
 	}
 }
@@ -658,14 +658,14 @@
 	<-ln.accepted
 	ln.Close()
 	drained := make(chan struct{})
-	go func() { s.front.downstream.drain(time.Now().Add(long)); close(drained) }()
+	go func() { s.front.downstream.drain(time.Now().Add(testTimeout)); close(drained) }()
 	select {
 	case <-drained:
 		t.Error("the drain ended while a request was waiting")
 	case <-time.After(20 * time.Millisecond): // correct code is only delayed
 	}
 	close(ln.resume)
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 	<-drained
@@ -674,11 +674,11 @@
 // A request that arrives after abortAll must be refused at once: the program ends before a response to it could be
 // written.
 func TestRequestsAfterAbortAllAreRefused(t *testing.T) {
-	s, received := serving(t, nil)
+	s, received := startWithRecordingServer(t, nil)
 	c := dial(t, s)
 	s.loop.postAndWait(s.loop.abortAll)
 	c.send("POST", "pay", "1")
-	if res, _ := c.answer(t); res.StatusCode != statusRefused || res.Header.Get("Retry-After") == "" || len(received) > 0 {
+	if res, _ := c.readResponse(t); res.StatusCode != statusRefused || res.Header.Get("Retry-After") == "" || len(received) > 0 {
 		t.Errorf("status %d, %d sent on, Retry-After %q", res.StatusCode, len(received), res.Header.Get("Retry-After"))
 	}
 }
@@ -693,14 +693,14 @@
 	c.send("POST", "pay", "1")
 	<-received
 	s.front.drain(s.listener, 20*time.Millisecond)
-	if res, _ := c.answer(t); res.StatusCode != statusFailed {
+	if res, _ := c.readResponse(t); res.StatusCode != statusFailed {
 		t.Errorf("status %d, want a failure", res.StatusCode)
 	}
 }
 
 // Connections on which requests arrive too slowly must be evicted for a new client.
 func TestSlowRequestsAreEvicted(t *testing.T) {
-	s, _ := serving(t, func(s *Sidecar) {
+	s, _ := startWithRecordingServer(t, func(s *Sidecar) {
 		s.front.downstream.maxConns, s.front.downstream.slowRequestTime = 2*evictionHeadroom, 0
 	})
 	for range 2 * evictionHeadroom {
@@ -708,7 +708,7 @@
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
@@ -717,7 +717,7 @@
 // to the next client's request: a connection is reused only after a delay, and not if bytes arrived in the meantime.
 func TestDuplicateResponseIsDiscarded(t *testing.T) {
 	sendDuplicate, sent := make(chan struct{}), make(chan struct{})
-	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
+	ln := startServer(t, func(n int, c net.Conn, _ *http.Request) bool {
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\n%d", n)
 		io.WriteString(c, text)
 		if n == 0 {
@@ -727,11 +727,11 @@
 		}
 		return true
 	})
-	u := pool(ln.Addr().String(), 4)
+	u := newTestUpstream(ln.Addr().String(), 4)
 	u.reuseDelay = time.Hour
 	expectResponse := func(want string) {
 		t.Helper()
-		if got, a := attemptOn(u, long); got != forkline.OK || string(a.body) != want {
+		if got, a := doAttempt(u, testTimeout); got != forkline.OK || string(a.body) != want {
 			t.Fatalf("outcome %v, response %v, want that of connection %s", got, a, want)
 		}
 	}
@@ -753,7 +753,7 @@
 // The last byte of an unsafe request is held back briefly. A response that arrives on a reused connection before it is
 // sent is a duplicate of an earlier one. The request cannot have run, so it must be sent on another connection.
 func TestDuplicateResponseDuringUnsafeRequest(t *testing.T) {
-	ln := listen(t)
+	ln := listenLoopback(t)
 	go func() {
 		for n := 0; ; n++ {
 			c, err := ln.Accept()
@@ -776,14 +776,14 @@
 			}
 		}
 	}()
-	u := pool(ln.Addr().String(), 4)
-	if got, _ := attemptOn(u, long); got != forkline.OK {
+	u := newTestUpstream(ln.Addr().String(), 4)
+	if got, _ := doAttempt(u, testTimeout); got != forkline.OK {
 		t.Fatalf("outcome %v", got)
 	}
-	u.breakCheckTime = long
-	outgoing := get()
+	u.breakCheckTime = testTimeout
+	outgoing := newGetRequest()
 	outgoing.atMostOnce = true
-	got, a := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(long))
+	got, a := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(testTimeout))
 	if got != forkline.OK || string(a.body) != "1" {
 		t.Errorf("outcome %v, response %v, want that of the second connection", got, a)
 	}
@@ -792,8 +792,8 @@
 // Lists may be indented, share a line and contain braces in strings.
 func TestWatchAcceptsAnyJSONLayout(t *testing.T) {
 	lists := make(chan List, 10)
-	d := &discovery{policy: unhurried(long), onList: func(l List) { lists <- l }, onFailed: func() {}}
-	d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	d := &discovery{policy: longTimeoutPolicy(testTimeout), onList: func(l List) { lists <- l }, onFailed: func() {}}
+	d.addr = startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n\n{\n  \"rev\": 1,\n\n  \"all\": true,\n  \"targets\": [\n    {\n      "+
 			"\"uid\": \"}\\\"{\",\r\n\t\"endpoint\": \"127.0.0.1:1\", \"state\": \"Ready\"}\n  ]\n}\n\n {\"rev\":2} {\"rev\":3}\n")
 		return false
@@ -818,7 +818,7 @@
 		"before the first object": func(net.Conn) {},
 		"within an object":        func(c net.Conn) { io.WriteString(c, "{\n\"rev\":") },
 		"trickling": func(c net.Conn) {
-			for c.SetWriteDeadline(time.Now().Add(2 * long)); ; time.Sleep(time.Millisecond) {
+			for c.SetWriteDeadline(time.Now().Add(2 * testTimeout)); ; time.Sleep(time.Millisecond) {
 				if _, err := io.WriteString(c, "{\n"); err != nil {
 					return
 				}
@@ -826,8 +826,8 @@
 		},
 	} {
 		done := make(chan struct{})
-		d := &discovery{policy: unhurried(30 * time.Millisecond), onList: func(List) {}, onFailed: func() {}}
-		d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+		d := &discovery{policy: longTimeoutPolicy(30 * time.Millisecond), onList: func(List) {}, onFailed: func() {}}
+		d.addr = startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			respond(c)
 			<-done
@@ -837,7 +837,7 @@
 		go func() { d.poll(t.Context()); close(ended) }()
 		select {
 		case <-ended:
-		case <-time.After(long):
+		case <-time.After(testTimeout):
 			t.Errorf("%s: the watch did not time out", name)
 		}
 		close(done)
@@ -860,17 +860,17 @@
 	for silent, want := range map[bool]string{false: "other", true: "either"} {
 		received, sendList, done := make(chan string, 10), make(chan struct{}), make(chan struct{})
 		newServer := func(name string) string {
-			return script(t, func(n int, c net.Conn, r *http.Request) bool {
+			return startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 				received <- name
 				return echo(n, c, r)
 			}).Addr().String()
 		}
-		cfg := config(t, newServer("draining"), newServer("other"))
-		cfg.Site.Settings.Limits.ConnectTimeout = float64(long.Milliseconds()) // long enough on a busy machine
+		cfg := testConfig(t, newServer("draining"), newServer("other"))
+		cfg.Site.Settings.Limits.ConnectTimeout = float64(testTimeout.Milliseconds()) // long enough on a busy machine
 		cfg.Site.Settings.Classes[0].Timeout, cfg.Site.Settings.Classes[0].TargetLatency = 20000, 20000
 		draining := cfg.InitialList.Targets[0]
 		draining.State = "Terminating"
-		cfg.Discovery = discover(t, func(_ string, notify func(List), _ func()) {
+		cfg.Discovery = startFakeDiscovery(t, func(_ string, notify func(List), _ func()) {
 			<-sendList
 			notify(List{Rev: 2, Targets: []Target{draining}})
 			<-done
@@ -879,7 +879,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if s.discovery.policy = unhurried(long); !silent {
+		if s.discovery.policy = longTimeoutPolicy(testTimeout); !silent {
 			s.cachedListDelay = time.Hour
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -898,7 +898,7 @@
 			close(sendList)
 		}
 		for _, c := range clients {
-			if res, _ := c.answer(t); res.StatusCode != 200 {
+			if res, _ := c.readResponse(t); res.StatusCode != 200 {
 				t.Errorf("status %d", res.StatusCode)
 			}
 		}
@@ -907,7 +907,7 @@
 				t.Errorf("a request was sent to the draining server")
 			}
 		}
-		s.discovery.move(nowhere())
+		s.discovery.move(silentAddr())
 		cancel()
 		close(done)
 	}
@@ -917,8 +917,8 @@
 // failure must be reported so that the module retries.
 func TestFailedAddrChangeKeepsOldWatch(t *testing.T) {
 	send, revs, failed := make(chan int64), make(chan int64, 10), make(chan struct{}, 10)
-	d := &discovery{policy: unhurried(long), rev: 1, onList: func(l List) { revs <- l.Rev }, onFailed: func() { failed <- struct{}{} }}
-	d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	d := &discovery{policy: longTimeoutPolicy(testTimeout), rev: 1, onList: func(l List) { revs <- l.Rev }, onFailed: func() { failed <- struct{}{} }}
+	d.addr = startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		for rev := range send {
 			fmt.Fprintf(c, "{\"rev\":%d}\n", rev)
@@ -930,7 +930,7 @@
 	if rev := <-revs; rev != 2 {
 		t.Fatalf("version %d", rev)
 	}
-	refusing := listen(t)
+	refusing := listenLoopback(t)
 	refusing.Close()
 	d.move(refusing.Addr().String())
 	d.poll(t.Context())
--- a/internal/sidecar/readiness_test.go
+++ b/internal/sidecar/readiness_test.go
@@ -11,7 +11,7 @@
 
 // isReady reports whether the sidecar answers a readiness check on a new connection with 200.
 func isReady(s *Sidecar) bool {
-	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: long}
+	c := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 	res, err := c.Get("http://" + s.listener.Addr().String() + "/-/ready")
 	if err != nil {
 		return false
@@ -23,25 +23,25 @@
 // brokenDiscoveries start discovery services that deliver no list, and return their addresses.
 var brokenDiscoveries = map[string]func(*testing.T) string{
 	"refused": func(t *testing.T) string {
-		ln := listen(t)
+		ln := listenLoopback(t)
 		ln.Close()
 		return ln.Addr().String()
 	},
-	"not accepted": func(*testing.T) string { return nowhere() },
+	"not accepted": func(*testing.T) string { return silentAddr() },
 	"silent": func(t *testing.T) string {
-		return script(t, func(_ int, c net.Conn, _ *http.Request) bool { io.Copy(io.Discard, c); return false }).Addr().String()
+		return startServer(t, func(_ int, c net.Conn, _ *http.Request) bool { io.Copy(io.Discard, c); return false }).Addr().String()
 	},
 	"overloaded": func(t *testing.T) string {
-		return script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+		return startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 			return false
 		}).Addr().String()
 	},
 	"reset": func(t *testing.T) string {
-		return script(t, func(int, net.Conn, *http.Request) bool { return false }).Addr().String()
+		return startServer(t, func(int, net.Conn, *http.Request) bool { return false }).Addr().String()
 	},
 	"answers with no list": func(t *testing.T) string {
-		return script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+		return startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 			io.Copy(io.Discard, c)
 			return false
@@ -57,14 +57,14 @@
 		for _, polled := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s/polled %v", name, polled), func(t *testing.T) {
 				t.Parallel()
-				cfg := config(t, script(t, echo).Addr().String())
+				cfg := testConfig(t, startServer(t, echo).Addr().String())
 				cfg.Discovery, cfg.Site.Settings.PollList = startDiscovery(t), polled
 				s, err := New(cfg)
 				if err != nil {
 					t.Fatal(err)
 				}
 				s.front.drainAcceptTime = 0
-				t.Cleanup(func() { s.discovery.move(nowhere()) })
+				t.Cleanup(func() { s.discovery.move(silentAddr()) })
 				go s.Run(t.Context())
 				if polled && !isReady(s) {
 					t.Error("not ready at once")
@@ -72,7 +72,7 @@
 				eventually(t, "readiness", func() bool { return isReady(s) })
 				c := dial(t, s)
 				c.send("GET", "read", "")
-				if res, _ := c.answer(t); res.StatusCode != 200 {
+				if res, _ := c.readResponse(t); res.StatusCode != 200 {
 					t.Errorf("status %d from a process that is ready", res.StatusCode)
 				}
 			})
@@ -85,10 +85,10 @@
 	for _, polled := range []bool{false, true} {
 		t.Run(fmt.Sprint("polled ", polled), func(t *testing.T) {
 			t.Parallel()
-			addr, sendList := script(t, echo).Addr().String(), make(chan struct{})
-			cfg := config(t)
+			addr, sendList := startServer(t, echo).Addr().String(), make(chan struct{})
+			cfg := testConfig(t)
 			cfg.Site.Settings.PollList = polled
-			cfg.Discovery = script(t, func(n int, c net.Conn, _ *http.Request) bool {
+			cfg.Discovery = startServer(t, func(n int, c net.Conn, _ *http.Request) bool {
 				if n == 0 {
 					io.WriteString(c, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
 					return false
@@ -103,7 +103,7 @@
 				t.Fatal(err)
 			}
 			s.front.drainAcceptTime = 0
-			t.Cleanup(func() { s.discovery.move(nowhere()) })
+			t.Cleanup(func() { s.discovery.move(silentAddr()) })
 			go s.Run(t.Context())
 			if isReady(s) {
 				t.Error("ready with no list")
@@ -119,7 +119,7 @@
 func TestReadyWithFullBacklog(t *testing.T) {
 	for name, sent := range map[string]string{"silent": "", "half a request": requestFirstHalf} {
 		t.Run(name, func(t *testing.T) {
-			cfg := config(t, script(t, echo).Addr().String())
+			cfg := testConfig(t, startServer(t, echo).Addr().String())
 			cfg.Sockets, cfg.Site.Settings.PollList = MinSockets, true
 			s, err := New(cfg)
 			if err != nil {
@@ -132,7 +132,7 @@
 			c := dial(t, s)
 			fmt.Fprint(c, "GET /-/ready HTTP/1.1\r\nHost: b\r\n\r\n")
 			go s.Run(t.Context())
-			if res, _ := c.answer(t); res.StatusCode != 200 {
+			if res, _ := c.readResponse(t); res.StatusCode != 200 {
 				t.Errorf("status %d for the check at the end of the backlog", res.StatusCode)
 			}
 			eventually(t, "readiness", func() bool { return isReady(s) })
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -44,7 +44,7 @@
 
 func newGatedServer(t *testing.T) *gatedServer {
 	g := &gatedServer{received: make(chan string, 100), release: make(chan bool, 100)}
-	g.addr = script(t, func(n int, c net.Conn, r *http.Request) bool {
+	g.addr = startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		id := r.Header.Get("X-Request-Id")
 		if g.received <- id; strings.HasPrefix(id, "held") && !<-g.release {
 			return false
@@ -61,7 +61,7 @@
 		if got != id {
 			t.Fatalf("received request %q, want %q", got, id)
 		}
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatalf("request %q was not received", id)
 	}
 }
@@ -77,7 +77,7 @@
 
 func (c *client) readStatus(t *testing.T) int {
 	t.Helper()
-	res, _ := c.answer(t)
+	res, _ := c.readResponse(t)
 	return res.StatusCode
 }
 
@@ -85,8 +85,8 @@
 // reload must still be answered.
 func TestReloadClasses(t *testing.T) {
 	server := newGatedServer(t)
-	cfg := patient(t, server.addr)
-	s := start(t, cfg)
+	cfg := longTimeoutConfig(t, server.addr)
+	s := startSidecar(t, cfg)
 	held := sendRequest(t, s, "held", "GET", "read")
 	server.awaitRequest(t, "held")
 	if status := sendRequest(t, s, "new", "GET", "new").readStatus(t); status != 404 {
@@ -120,8 +120,8 @@
 // longer than this test.
 func TestReloadTimeout(t *testing.T) {
 	server := newGatedServer(t)
-	cfg := patient(t, server.addr)
-	s := start(t, cfg)
+	cfg := longTimeoutConfig(t, server.addr)
+	s := startSidecar(t, cfg)
 	reloadSettings(t, s, cfg, func(set *forkline.Settings) {
 		set.Classes[0].TargetLatency, set.Classes[0].Timeout = 100, 200
 		set.Limits.ConnectTimeout, set.Safety.DrainGrace, set.Limits.SendRetryAfter = 77, 1000, false
@@ -140,8 +140,8 @@
 // After a reload that adds a quota, a request beyond the quota must be refused at once instead of waiting.
 func TestReloadQuota(t *testing.T) {
 	server := newGatedServer(t)
-	cfg := patient(t, server.addr)
-	s := start(t, cfg)
+	cfg := longTimeoutConfig(t, server.addr)
+	s := startSidecar(t, cfg)
 	for _, id := range []string{"held1", "held2", "held3", "held4", "held5"} { // as many as a copy may have open at its start
 		sendRequest(t, s, id, "GET", "read")
 		server.awaitRequest(t, id)
@@ -171,8 +171,8 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server, other := newGatedServer(t), newGatedServer(t)
-			cfg := patient(t, server.addr)
-			s := start(t, cfg)
+			cfg := longTimeoutConfig(t, server.addr)
+			s := startSidecar(t, cfg)
 			open := sendRequest(t, s, "held", c.method, c.class)
 			server.awaitRequest(t, "held")
 			reloadSettings(t, s, cfg, func(set *forkline.Settings) { set.Classes[c.index].Effect = c.effect })
@@ -195,8 +195,8 @@
 // retry must not run, because the original was of an unsafe class and may have run.
 func TestReloadBeforeClientRetry(t *testing.T) {
 	server := newGatedServer(t)
-	cfg := patient(t, server.addr)
-	s := start(t, cfg)
+	cfg := longTimeoutConfig(t, server.addr)
+	s := startSidecar(t, cfg)
 	var original *call
 	first := sendRequest(t, s, "held", "POST", "pay")
 	server.awaitRequest(t, "held")
@@ -218,8 +218,8 @@
 
 // A request that was parsed under the old settings and reaches the loop after a reload must be handled by the new ones.
 func TestReloadBeforeParsedRequestIsAccepted(t *testing.T) {
-	cfg := config(t, listen(t).Addr().String())
-	s := start(t, cfg)
+	cfg := testConfig(t, listenLoopback(t).Addr().String())
+	s := startSidecar(t, cfg)
 	parse := func(method, class string) *call {
 		c, _, reason := s.front.parse(message{
 			startLine: method + " /" + class + "/x HTTP/1.1",
@@ -269,8 +269,8 @@
 // as it was, including the discovery address.
 func TestReloadIsAtomic(t *testing.T) {
 	server := newGatedServer(t)
-	cfg := patient(t, server.addr)
-	s := start(t, cfg)
+	cfg := longTimeoutConfig(t, server.addr)
+	s := startSidecar(t, cfg)
 	for want, invalidate := range map[string]func(*forkline.Settings){
 		"Stages":        func(set *forkline.Settings) { set.Stages = 3 },
 		"ListOnRequest": func(set *forkline.Settings) { set.PollList = true },
@@ -297,11 +297,11 @@
 // A reload with unchanged settings must not wait for the loop. A change of the discovery address in the same
 // configuration must still apply.
 func TestReloadUnchangedSettings(t *testing.T) {
-	cfg := config(t, listen(t).Addr().String())
-	s := start(t, cfg)
+	cfg := testConfig(t, listenLoopback(t).Addr().String())
+	s := startSidecar(t, cfg)
 	occupied := occupyLoop(s) // a reload that needs the loop would block
 	same := withSettings(cfg, func(*forkline.Settings) {})
-	same.Discovery, same.Sockets, same.Name = listen(t).Addr().String(), 999, "m"
+	same.Discovery, same.Sockets, same.Name = listenLoopback(t).Addr().String(), 999, "m"
 	done := make(chan error)
 	go func() { done <- s.Reload(same) }()
 	select {
@@ -309,7 +309,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("the reload waits for the loop")
 	}
 	if s.discovery.addr != same.Discovery {
@@ -324,14 +324,14 @@
 // Concurrent reloads change settings and the discovery address while the loop's queue is full and a watch delivers
 // lists. None may block forever, and the last reload must be in force.
 func TestReloadWithFullQueue(t *testing.T) {
-	cfg := config(t, listen(t).Addr().String())
-	listingAddr := discover(t, func(_ string, notify func(List), beat func()) {
+	cfg := testConfig(t, listenLoopback(t).Addr().String())
+	listingAddr := startFakeDiscovery(t, func(_ string, notify func(List), beat func()) {
 		for rev := int64(1); rev < 50; rev++ {
 			notify(List{Rev: rev, Full: true, Targets: cfg.InitialList.Targets})
 		}
 		beat()
 	})
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	occupied := occupyLoop(s)
 	for len(s.loop.queue) < cap(s.loop.queue) {
 		select {
@@ -366,7 +366,7 @@
 // drain's time limit, which follows the longest timeout of any class. A reload after the end must return an error.
 func TestReloadDuringDrain(t *testing.T) {
 	server := newGatedServer(t)
-	cfg := patient(t, server.addr)
+	cfg := longTimeoutConfig(t, server.addr)
 	s, err := New(cfg)
 	if err != nil {
 		t.Fatal(err)
@@ -412,13 +412,13 @@
 // in only one of them.
 func TestReloadZonesResendsList(t *testing.T) {
 	a, b := newGatedServer(t), newGatedServer(t)
-	cfg := patient(t, a.addr, b.addr)
+	cfg := longTimeoutConfig(t, a.addr, b.addr)
 	cfg.InitialList.Targets[0].Zone, cfg.InitialList.Targets[1].Zone = "a", "b"
 	cfg = withSettings(cfg, func(set *forkline.Settings) {
 		c := &set.Classes[2]
 		c.TargetLatency, c.Timeout, c.Scope, c.DedupWindow = set.Classes[0].TargetLatency, set.Classes[0].Timeout, forkline.ScopeZone, 1e9
 	})
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	eventually(t, "the list", func() bool { return isReady(s) })
 	cfg.Site.Zones = []string{"z", "a", "b"}
 	if err := s.Reload(cfg); err != nil {
@@ -438,14 +438,14 @@
 // the servers there do not know its idempotency key.
 func TestReloadZonesDoesNotRetryByOldNumber(t *testing.T) {
 	server, other := newGatedServer(t), newGatedServer(t)
-	cfg := patient(t, server.addr, other.addr)
+	cfg := longTimeoutConfig(t, server.addr, other.addr)
 	cfg.InitialList.Targets[1].Zone = "y"
 	cfg.InitialList.Targets = cfg.InitialList.Targets[:1]
 	cfg = withSettings(cfg, func(set *forkline.Settings) {
 		c := &set.Classes[2]
 		c.TargetLatency, c.Timeout, c.Scope, c.DedupWindow = set.Classes[0].TargetLatency, set.Classes[0].Timeout, forkline.ScopeZone, 1e9
 	})
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	open := sendRequest(t, s, "held", "POST", "add", "Idempotency-Key: k")
 	server.awaitRequest(t, "held")
 	// Its server is removed and will not be listed again.
@@ -478,16 +478,16 @@
 // Connections must follow the new limits after a reload: idle connections over the new idle timeout are closed, and the
 // trusted idle time that was learned is kept if it is lower than the new idle timeout.
 func TestReloadConnectionLimits(t *testing.T) {
-	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	ln := startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	u := pool(ln.Addr().String(), 4)
+	u := newTestUpstream(ln.Addr().String(), 4)
 	u.configure(forkline.Limits{IdleTimeout: 3.6e6}, 0)
 	if u.trustedIdle != u.idleTimeout || u.idleTimeout != 48*time.Minute {
 		t.Errorf("idle timeout %v, trusted idle time %v", u.idleTimeout, u.trustedIdle)
 	}
-	attemptOn(u, long)
+	doAttempt(u, testTimeout)
 	u.configure(forkline.Limits{IdleTimeout: 10, ConnectTimeout: 77}, 1000)
 	if u.trustedIdle != 8*time.Millisecond || u.dialTimeout != 77*time.Millisecond || u.firstByteTimeout != 600*time.Millisecond {
 		t.Errorf("trusted idle time %v, dial timeout %v, first byte timeout %v", u.trustedIdle, u.dialTimeout, u.firstByteTimeout)
--- a/internal/sidecar/remembered_test.go
+++ b/internal/sidecar/remembered_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			received := make(chan struct{}, 10)
-			cfg := config(t, script(t, func(n int, conn net.Conn, r *http.Request) bool {
+			cfg := testConfig(t, startServer(t, func(n int, conn net.Conn, r *http.Request) bool {
 				received <- struct{}{}
 				if len(received) == 1 && c.firstResponse != "" {
 					io.WriteString(conn, c.firstResponse)
@@ -39,10 +39,10 @@
 				return echo(n, conn, r)
 			}).Addr().String())
 			cfg.Site.Settings.Limits.MaxAttempts = 1
-			s := start(t, cfg)
+			s := startSidecar(t, cfg)
 			first, second := dial(t, s), dial(t, s)
 			first.send(c.method, c.class, "", "Idempotency-Key: k")
-			first.answer(t)
+			first.readResponse(t)
 			first.Close()
 			for remaining := 1; remaining > 0; { // until the original request and its attempt have ended
 				s.loop.postAndWait(func() { remaining = len(s.loop.calls) + len(s.loop.callsByID) })
@@ -51,7 +51,7 @@
 				s.loop.postAndWait(s.loop.abortAll)
 			}
 			second.send(c.method, c.class, "", "Idempotency-Key: k")
-			if res, _ := second.answer(t); res.StatusCode != c.wantStatus || len(received) != c.wantSends {
+			if res, _ := second.readResponse(t); res.StatusCode != c.wantStatus || len(received) != c.wantSends {
 				t.Errorf("status %d after %d sends, want %d after %d", res.StatusCode, len(received), c.wantStatus, c.wantSends)
 			}
 		})
@@ -95,7 +95,7 @@
 
 // While the recent ids are full, requests whose ids would have to be kept must be refused. Safe requests are accepted.
 func TestRequestsWhileRecentIDsAreFull(t *testing.T) {
-	socketless(t, func(t *testing.T, f *front) {
+	withoutSockets(t, func(t *testing.T, f *front) {
 		accept := func(class uint16, safe bool) int { // returns the status of an immediate response; 0 = accepted
 			statuses := make(chan int, 1)
 			f.loop.postAndWait(func() {
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -29,15 +29,15 @@
 		{"name": "pay", "aim": 1000, "giveUp": 2500, "effect": "non_idempotent"},
 		{"name": "add", "aim": 1000, "giveUp": 2500, "effect": "idempotency_key", "group": "cell", "dedupWindow": 10000}]}`
 
-// config returns the configuration of a sidecar whose initial list has the given addresses and whose discovery never
+// testConfig returns the configuration of a sidecar whose initial list has the given addresses and whose discovery never
 // answers.
-func config(t *testing.T, addrs ...string) Config {
+func testConfig(t *testing.T, addrs ...string) Config {
 	t.Helper()
 	site, err := wire.ParseSite([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg := Config{Name: "n", Listen: "127.0.0.1:0", Discovery: nowhere(), Sockets: 256, Site: site}
+	cfg := Config{Name: "n", Listen: "127.0.0.1:0", Discovery: silentAddr(), Sockets: 256, Site: site}
 	for i, a := range addrs {
 		cfg.InitialList.Targets = append(cfg.InitialList.Targets,
 			Target{UID: fmt.Sprint("s-", i), Endpoint: a, Zone: "z", Kind: "k", State: "Ready"})
@@ -45,9 +45,9 @@
 	return cfg
 }
 
-// nowhere returns the address of a discovery that never answers. Its listener stays open until the program ends, because
+// silentAddr returns the address of a discovery that never answers. Its listener stays open until the program ends, because
 // a sidecar may call discovery for a while after its test and must not reach a listener of another test.
-var nowhere = sync.OnceValue(func() string {
+var silentAddr = sync.OnceValue(func() string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		panic(err)
@@ -55,8 +55,8 @@
 	return ln.Addr().String()
 })
 
-// start runs a sidecar until the test ends. It uses the initial list at once.
-func start(t *testing.T, cfg Config) *Sidecar {
+// startSidecar runs a sidecar until the test ends. It uses the initial list at once.
+func startSidecar(t *testing.T, cfg Config) *Sidecar {
 	t.Helper()
 	s, err := New(cfg)
 	if err != nil {
@@ -65,7 +65,7 @@
 	s.cachedListDelay = 0
 	ctx, cancel := context.WithCancel(context.Background())
 	go s.Run(ctx)
-	t.Cleanup(func() { s.discovery.move(nowhere()); s.front.drainAcceptTime = 0; cancel() })
+	t.Cleanup(func() { s.discovery.move(silentAddr()); s.front.drainAcceptTime = 0; cancel() })
 	return s
 }
 
@@ -96,10 +96,10 @@
 	fmt.Fprintf(c, "%sContent-Length: %d\r\n\r\n%s", text, len(body), body) // a write error shows when the response is read
 }
 
-// answer reads a complete response.
-func (c *client) answer(t *testing.T) (*http.Response, string) {
+// readResponse reads a complete response.
+func (c *client) readResponse(t *testing.T) (*http.Response, string) {
 	t.Helper()
-	c.SetReadDeadline(time.Now().Add(long))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -119,16 +119,16 @@
 }
 
 func TestServesRequests(t *testing.T) {
-	s := start(t, config(t, script(t, echo).Addr().String()))
+	s := startSidecar(t, testConfig(t, startServer(t, echo).Addr().String()))
 	c := dial(t, s)
 	for range 3 { // on one connection
 		c.send("GET", "read", "", "X-Deadline: 2.000")
-		if res, body := c.answer(t); res.StatusCode != 200 || body != "GET /read/x?a=%2F id " {
+		if res, body := c.readResponse(t); res.StatusCode != 200 || body != "GET /read/x?a=%2F id " {
 			t.Fatalf("status %d, body %q", res.StatusCode, body)
 		}
 	}
 	c.send("POST", "add", "box", "X-Deadline: 2.000", "Idempotency-Key: k1")
-	if res, body := c.answer(t); res.StatusCode != 200 || body != "POST /add/x?a=%2F id k1" {
+	if res, body := c.readResponse(t); res.StatusCode != 200 || body != "POST /add/x?a=%2F id k1" {
 		t.Errorf("status %d, body %q", res.StatusCode, body)
 	}
 }
@@ -136,7 +136,7 @@
 // An invalid request must get a 4xx response and must not be forwarded.
 func TestInvalidRequestsAreNotForwarded(t *testing.T) {
 	requests := make(chan struct{}, 100)
-	s := start(t, config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	s := startSidecar(t, testConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		requests <- struct{}{}
 		return echo(n, c, r)
 	}).Addr().String()))
@@ -161,7 +161,7 @@
 	} {
 		client := dial(t, s)
 		client.send(c.method, c.class, c.body, c.headers...)
-		if res, _ := client.answer(t); res.StatusCode != c.want {
+		if res, _ := client.readResponse(t); res.StatusCode != c.want {
 			t.Errorf("%s: status %d, want %d", c.name, res.StatusCode, c.want)
 		}
 	}
@@ -173,7 +173,7 @@
 // The deadline that the module gets must leave time for the response to reach the client, and must not exceed the timeout
 // of the class.
 func TestCallDeadlines(t *testing.T) {
-	cfg := config(t)
+	cfg := testConfig(t)
 	l, err := newLoop(&cfg, newUpstream(forkline.Limits{}, 0, 4))
 	if err != nil {
 		t.Fatal(err)
@@ -200,26 +200,26 @@
 func TestUnsafeRequestIsSentOnce(t *testing.T) {
 	requests := make(chan struct{}, 10)
 	broken := func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false }
-	s := start(t, config(t, script(t, broken).Addr().String(), script(t, broken).Addr().String()))
+	s := startSidecar(t, testConfig(t, startServer(t, broken).Addr().String(), startServer(t, broken).Addr().String()))
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
-	if res, _ := c.answer(t); res.StatusCode != statusFailed || len(requests) != 1 {
+	if res, _ := c.readResponse(t); res.StatusCode != statusFailed || len(requests) != 1 {
 		t.Errorf("status %d after %d attempts, want a failure after one", res.StatusCode, len(requests))
 	}
 }
 
 // A request that an endpoint rejects has not run. It must be sent to another endpoint, here one that serves it.
 func TestRejectedRequestIsSentElsewhere(t *testing.T) {
-	rejecting := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	rejecting := startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	s := start(t, config(t, rejecting.Addr().String(), script(t, echo).Addr().String()))
+	s := startSidecar(t, testConfig(t, rejecting.Addr().String(), startServer(t, echo).Addr().String()))
 	c := dial(t, s)
 	for i := range 4 {
 		c.id = fmt.Sprint(i) // the ID of a request that may have run is not accepted again
 		c.send("POST", "pay", "1")
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Errorf("status %d, want 200 from the other endpoint", res.StatusCode)
 		}
 	}
@@ -231,10 +231,10 @@
 		io.WriteString(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	s := start(t, config(t, script(t, reject).Addr().String()))
+	s := startSidecar(t, testConfig(t, startServer(t, reject).Addr().String()))
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
-	res, _ := c.answer(t)
+	res, _ := c.readResponse(t)
 	after, err := strconv.ParseFloat(res.Header.Get("Retry-After"), 64)
 	if res.StatusCode != statusRefused || err != nil || after <= 0 {
 		t.Errorf("status %d, Retry-After %q; want a refusal with a positive delay", res.StatusCode, res.Header.Get("Retry-After"))
@@ -244,7 +244,7 @@
 // When the client disconnects, its attempt must be cancelled so that the endpoint does no useless work.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	received, disconnected := make(chan struct{}), make(chan struct{})
-	s := start(t, config(t, script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	s := startSidecar(t, testConfig(t, startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		close(received)
 		c.Read(make([]byte, 1))
 		close(disconnected)
@@ -256,7 +256,7 @@
 	c.Close()
 	select {
 	case <-disconnected:
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Fatal("the attempt was not cancelled")
 	}
 	for calls := 1; calls != 0; { // the call must be forgotten too
@@ -268,17 +268,17 @@
 func TestSilentEndpoint(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	s := start(t, config(t, script(t, func(int, net.Conn, *http.Request) bool { <-release; return false }).Addr().String()))
+	s := startSidecar(t, testConfig(t, startServer(t, func(int, net.Conn, *http.Request) bool { <-release; return false }).Addr().String()))
 	c := dial(t, s)
 	c.send("POST", "pay", "1")
-	if res, _ := c.answer(t); res.StatusCode != statusFailed {
+	if res, _ := c.readResponse(t); res.StatusCode != statusFailed {
 		t.Errorf("status %d, want a failure", res.StatusCode)
 	}
 }
 
 // The backstop must refuse only calls that cannot have run, and must answer once.
 func TestBackstopRefusesOnlyCallsThatCannotHaveRun(t *testing.T) {
-	cfg := config(t)
+	cfg := testConfig(t)
 	l, err := newLoop(&cfg, newUpstream(forkline.Limits{}, 0, 4))
 	if err != nil {
 		t.Fatal(err)
@@ -310,7 +310,7 @@
 // until discovery has answered or has not answered for cachedListDelay.
 func TestReady(t *testing.T) {
 	for want, addrs := range map[int][]string{503: nil, 200: {"127.0.0.1:1"}} {
-		s, err := New(config(t, addrs...))
+		s, err := New(testConfig(t, addrs...))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -334,7 +334,7 @@
 // closed, the calls in flight answered, and only then may the program end.
 func TestDrain(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
-	cfg := config(t, script(t, func(n int, c net.Conn, r *http.Request) bool {
+	cfg := testConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool {
 		if r.Header.Get("X-Hold") != "" {
 			close(received)
 			<-release
@@ -362,13 +362,13 @@
 	lateClient.id = "late"
 	for range 2 { // the connection is kept, as the client may have no other sidecar
 		lateClient.send("GET", "read", "")
-		if res, _ := lateClient.answer(t); res.StatusCode != 200 || res.Close {
+		if res, _ := lateClient.readResponse(t); res.StatusCode != 200 || res.Close {
 			t.Errorf("status %d, close %v; want 200 and a kept connection for a late client", res.StatusCode, res.Close)
 		}
 	}
-	lateClient.ends(t)
+	lateClient.readUntilClose(t)
 	close(release)
-	if res, _ := slowClient.answer(t); res.StatusCode != 200 {
+	if res, _ := slowClient.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d of the call from before SIGTERM, want 200", res.StatusCode)
 	}
 	if err := <-runErr; err != nil {
@@ -380,7 +380,7 @@
 func TestDrainAbortsCallsInTime(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	cfg := config(t, script(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String())
+	cfg := testConfig(t, startServer(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String())
 	cfg.Site.Settings.Classes[1].Timeout = 60000 // the call itself does not time out
 	s, err := New(cfg)
 	if err != nil {
@@ -395,7 +395,7 @@
 	<-received
 	drained := make(chan struct{})
 	go func() { s.front.drain(s.listener, defaultDrainAcceptTime); close(drained) }()
-	if res, _ := c.answer(t); res.StatusCode != statusFailed {
+	if res, _ := c.readResponse(t); res.StatusCode != statusFailed {
 		t.Errorf("status %d, want a failure", res.StatusCode)
 	}
 	<-drained
@@ -416,7 +416,7 @@
 
 // Clients with idle connections must not keep others out.
 func TestIdleClientsAreEvicted(t *testing.T) {
-	cfg := config(t, script(t, echo).Addr().String())
+	cfg := testConfig(t, startServer(t, echo).Addr().String())
 	cfg.Sockets = MinSockets
 	s, err := New(cfg)
 	if err != nil {
@@ -432,7 +432,7 @@
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 }
@@ -442,21 +442,22 @@
 func TestNoResponseAfterClientShutdown(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	defer close(release)
-	s := start(t, config(t, script(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String()))
+	s := startSidecar(t, testConfig(t, startServer(t, func(int, net.Conn, *http.Request) bool { close(received); <-release; return false }).Addr().String()))
 	c := dial(t, s)
 	c.send("GET", "read", "")
 	<-received
 	c.Conn.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(long))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if text, err := io.ReadAll(c); len(text) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("response %q, error %v; want a closed connection without a response", text, err)
 	}
 }
 
-// discover starts a discovery server and returns its address. It calls f for each watch, which ends when f returns.
-func discover(t *testing.T, f func(since string, send func(List), keepAlive func())) string {
+// startFakeDiscovery starts a discovery server and returns its address. It calls f for each watch, which ends when f
+// returns.
+func startFakeDiscovery(t *testing.T, f func(since string, send func(List), keepAlive func())) string {
 	t.Helper()
-	return script(t, func(_ int, c net.Conn, r *http.Request) bool {
+	return startServer(t, func(_ int, c net.Conn, r *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		chunk := func(text string) { fmt.Fprintf(c, "%x\r\n%s\r\n", len(text), text) }
 		f(r.URL.Query().Get("since"), func(l List) {
@@ -474,10 +475,10 @@
 func TestWatch(t *testing.T) {
 	next, done := make(chan string), make(chan struct{})
 	defer close(done)
-	addr := script(t, echo).Addr().String()
-	cfg := config(t)
+	addr := startServer(t, echo).Addr().String()
+	cfg := testConfig(t)
 	cfg.InitialList.Rev = 7
-	cfg.Discovery = discover(t, func(since string, send func(List), keepAlive func()) {
+	cfg.Discovery = startFakeDiscovery(t, func(since string, send func(List), keepAlive func()) {
 		keepAlive()
 		for rev := int64(8); ; rev++ {
 			select {
@@ -488,10 +489,10 @@
 			}
 		}
 	})
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	awaitReadyServers := func(want int) {
 		t.Helper()
-		for got, end := -1, time.Now().Add(long); got != want; {
+		for got, end := -1, time.Now().Add(testTimeout); got != want; {
 			if s.loop.postAndWait(func() { got = s.loop.readyServers }); time.Now().After(end) {
 				t.Fatalf("%d ready servers, want %d", got, want)
 			}
@@ -504,13 +505,13 @@
 	}
 	c := dial(t, s)
 	c.send("GET", "read", "")
-	if res, _ := c.answer(t); res.StatusCode != 200 {
+	if res, _ := c.readResponse(t); res.StatusCode != 200 {
 		t.Errorf("status %d", res.StatusCode)
 	}
 	next <- "Terminating"
 	awaitReadyServers(0)
 	c.send("GET", "read", "", "X-Deadline: 0.200")
-	if res, _ := c.answer(t); res.StatusCode != statusRefused {
+	if res, _ := c.readResponse(t); res.StatusCode != statusRefused {
 		t.Errorf("status %d with every endpoint draining, want a refusal", res.StatusCode)
 	}
 	next <- "Gone"
@@ -533,21 +534,21 @@
 		<-full
 		return echo(n, c, r)
 	}
-	cfg := config(t)
+	cfg := testConfig(t)
 	for i := range 4 {
-		addr := script(t, hold).Addr().String()
+		addr := startServer(t, hold).Addr().String()
 		cfg.InitialList.Targets = append(cfg.InitialList.Targets, Target{UID: fmt.Sprint("s-", i), Endpoint: addr, Zone: "z", State: "Ready"})
 	}
-	cfg.Discovery = discover(t, func(_ string, send func(List), _ func()) {
+	cfg.Discovery = startFakeDiscovery(t, func(_ string, send func(List), _ func()) {
 		for i, old := range cfg.InitialList.Targets {
 			old.State = "Terminating"
 			send(List{Rev: int64(2*i + 1), Targets: []Target{old}})
-			addr := script(t, hold).Addr().String()
+			addr := startServer(t, hold).Addr().String()
 			send(List{Rev: int64(2*i + 2), Targets: []Target{{UID: fmt.Sprint("n-", i), Endpoint: addr, Zone: "z", State: "Ready"}}})
 		}
 		<-done
 	})
-	s := start(t, cfg)
+	s := startSidecar(t, cfg)
 	last := newDirectory(nil, nil).id("n-3")
 	for listed := false; !listed; {
 		s.loop.postAndWait(func() { listed = s.loop.serverReady[last] })
@@ -559,7 +560,7 @@
 		clients[i].send("GET", "read", "")
 	}
 	for _, c := range clients {
-		if res, _ := c.answer(t); res.StatusCode != 200 {
+		if res, _ := c.readResponse(t); res.StatusCode != 200 {
 			t.Fatalf("status %d with %d calls in flight, want 200 with %d", res.StatusCode, held.Load(), limit)
 		}
 	}
@@ -581,10 +582,10 @@
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	cfg := config(t, script(t, hold).Addr().String(), script(t, hold).Addr().String(), script(t, hold).Addr().String(),
-		script(t, fail).Addr().String())
-	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(long.Milliseconds()) // calls in flight stay in flight
-	s := start(t, cfg)
+	cfg := testConfig(t, startServer(t, hold).Addr().String(), startServer(t, hold).Addr().String(), startServer(t, hold).Addr().String(),
+		startServer(t, fail).Addr().String())
+	cfg.Site.Settings.Classes[0].Timeout = 2 * float64(testTimeout.Milliseconds()) // calls in flight stay in flight
+	s := startSidecar(t, cfg)
 	defer close(done)
 	var refused atomic.Int32
 	sendCall := func(i int) {
@@ -599,7 +600,7 @@
 	}
 	awaitHeldOrRefused := func(n int) {
 		t.Helper()
-		for end := time.Now().Add(long); int(held.Load()+refused.Load()) < n; time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); int(held.Load()+refused.Load()) < n; time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("%d in flight and %d refused of %d calls", held.Load(), refused.Load(), n)
 			}
@@ -629,7 +630,7 @@
 
 // A full list must remove the servers that it does not contain.
 func TestFullListReplacesServers(t *testing.T) {
-	cfg := config(t, "127.0.0.1:1", "127.0.0.1:2")
+	cfg := testConfig(t, "127.0.0.1:1", "127.0.0.1:2")
 	l, err := newLoop(&cfg, newUpstream(forkline.Limits{}, 0, 4))
 	if err != nil {
 		t.Fatal(err)
@@ -648,8 +649,8 @@
 	done := make(chan struct{})
 	defer close(done)
 	calls := make(chan string, 10)
-	d := &discovery{policy: unhurried(30 * time.Millisecond), rev: 3, onList: func(List) {}, onFailed: func() {}}
-	d.addr = discover(t, func(since string, send func(List), keepAlive func()) {
+	d := &discovery{policy: longTimeoutPolicy(30 * time.Millisecond), rev: 3, onList: func(List) {}, onFailed: func() {}}
+	d.addr = startFakeDiscovery(t, func(since string, send func(List), keepAlive func()) {
 		calls <- since
 		send(List{Rev: 4})
 		<-done
@@ -668,8 +669,8 @@
 	revs, oldEnded := make(chan int64, 10), make(chan struct{})
 	var failures atomic.Int32
 	next := make(chan int64)
-	d := &discovery{policy: unhurried(long), rev: 1, onList: func(l List) { revs <- l.Rev }, onFailed: func() { failures.Add(1) }}
-	old := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	d := &discovery{policy: longTimeoutPolicy(testTimeout), rev: 1, onList: func(l List) { revs <- l.Rev }, onFailed: func() { failures.Add(1) }}
+	old := startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		go func() {
 			for rev := range next {
@@ -680,7 +681,7 @@
 		close(oldEnded)
 		return false
 	}).Addr().String()
-	silent := listen(t).Addr().String() // accepts and never answers
+	silent := listenLoopback(t).Addr().String() // accepts and never answers
 	d.addr = old
 	expectRev := func(rev int64) {
 		t.Helper()
@@ -702,7 +703,7 @@
 	}
 	next <- 3
 	expectRev(3)
-	d.move(discover(t, func(since string, send func(List), keepAlive func()) {
+	d.move(startFakeDiscovery(t, func(since string, send func(List), keepAlive func()) {
 		if since != "3" {
 			t.Errorf("the watch starts at version %s, want 3", since)
 		}
@@ -721,7 +722,7 @@
 // Where the list is polled, the module decides when to call again. Each failed call must therefore be reported to it.
 func TestFailedCallIsReported(t *testing.T) {
 	failed := make(chan struct{}, 1)
-	d := &discovery{policy: unhurried(long), onList: func(List) { t.Error("a list was received") }, onFailed: func() { failed <- struct{}{} }}
+	d := &discovery{policy: longTimeoutPolicy(testTimeout), onList: func(List) { t.Error("a list was received") }, onFailed: func() { failed <- struct{}{} }}
 	for name, text := range map[string]string{
 		"rejected":    "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
 		"reset":       "",
@@ -729,7 +730,7 @@
 		"bad state":   "HTTP/1.1 200 OK\r\n\r\n" + `{"targets":[{"uid":"a","endpoint":"127.0.0.1:1","state":"Odd"}]}` + "\n",
 		"bad address": "HTTP/1.1 200 OK\r\n\r\n" + `{"targets":[{"uid":"a","endpoint":"nowhere","state":"Ready"}]}` + "\n",
 	} {
-		d.addr = script(t, func(_ int, c net.Conn, _ *http.Request) bool { io.WriteString(c, text); return false }).Addr().String()
+		d.addr = startServer(t, func(_ int, c net.Conn, _ *http.Request) bool { io.WriteString(c, text); return false }).Addr().String()
 		d.poll(t.Context())
 		select {
 		case <-failed:
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -15,10 +15,10 @@
 	"forkline"
 )
 
-const long = 10 * time.Second // longer than any wait of a test that passes
+const testTimeout = 10 * time.Second // longer than any wait in a test that passes
 
-// listen opens a loopback listener that is closed when the test ends.
-func listen(t *testing.T) net.Listener {
+// listenLoopback opens a loopback listener that is closed when the test ends.
+func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -28,11 +28,11 @@
 	return ln
 }
 
-// script starts a server that passes each request to f, with the number of its connection. It closes the connection when f
-// returns false.
-func script(t *testing.T, f func(n int, c net.Conn, req *http.Request) (more bool)) net.Listener {
+// startServer starts an HTTP server on loopback that passes each request to handle, with the number of its connection,
+// which counts from 0. It closes the connection when handle returns false.
+func startServer(t *testing.T, handle func(n int, c net.Conn, req *http.Request) (more bool)) net.Listener {
 	t.Helper()
-	ln := listen(t)
+	ln := listenLoopback(t)
 	go func() {
 		for n := 0; ; n++ {
 			c, err := ln.Accept()
@@ -48,7 +48,7 @@
 						return
 					}
 					io.Copy(io.Discard, req.Body)
-					if !f(n, c, req) {
+					if !handle(n, c, req) {
 						return
 					}
 				}
@@ -58,21 +58,21 @@
 	return ln
 }
 
-// get returns a GET request.
-func get() *upstreamRequest {
+// newGetRequest returns a GET request.
+func newGetRequest() *upstreamRequest {
 	return &upstreamRequest{
 		preamble: "GET /browse/x?q=%20 HTTP/1.1\r\nHost: backend.local\r\n",
 		header:   http.Header{"X-Request-Id": {"1"}, "X-Deadline": {"99"}},
 	}
 }
 
-// attemptOn makes one attempt at server 1 of u, with the given time until the deadline.
-func attemptOn(u *upstream, wait time.Duration) (forkline.Outcome, *response) {
-	return u.do(newAttempt(time.Time{}), u.find(1), get(), time.Now().Add(wait))
+// doAttempt makes one attempt at server 1 of u, with the given time until the deadline.
+func doAttempt(u *upstream, timeLeft time.Duration) (forkline.Outcome, *response) {
+	return u.do(newAttempt(time.Time{}), u.find(1), newGetRequest(), time.Now().Add(timeLeft))
 }
 
-// pool returns a connection pool with one server, which has ID 1.
-func pool(addr string, maxConns int) *upstream {
+// newTestUpstream returns a connection pool with one server, which has ID 1.
+func newTestUpstream(addr string, maxConns int) *upstream {
 	u := newUpstream(forkline.Limits{}, 0, maxConns)
 	u.updateServer(1, addr, 0, forkline.Ready)
 	u.reuseDelay = 0 // connections are reused at once
@@ -117,11 +117,11 @@
 		{"duplicate response", strings.Repeat("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", 2), forkline.OK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			ln := script(t, func(_ int, conn net.Conn, _ *http.Request) bool {
+			ln := startServer(t, func(_ int, conn net.Conn, _ *http.Request) bool {
 				io.WriteString(conn, c.sent)
 				return false
 			})
-			got, a := attemptOn(pool(ln.Addr().String(), 4), long)
+			got, a := doAttempt(newTestUpstream(ln.Addr().String(), 4), testTimeout)
 			final := c.want == forkline.OK || c.want == forkline.Cancelled
 			if got != c.want || (a != nil) != final {
 				t.Fatalf("outcome %v with response %v, want %v", got, a, c.want)
@@ -134,15 +134,15 @@
 	t.Run("silent", func(t *testing.T) {
 		release := make(chan struct{})
 		defer close(release)
-		ln := script(t, func(int, net.Conn, *http.Request) bool { <-release; return false })
-		if got, _ := attemptOn(pool(ln.Addr().String(), 4), time.Second); got != forkline.Timeout {
+		ln := startServer(t, func(int, net.Conn, *http.Request) bool { <-release; return false })
+		if got, _ := doAttempt(newTestUpstream(ln.Addr().String(), 4), time.Second); got != forkline.Timeout {
 			t.Errorf("outcome %v, want a timeout", got)
 		}
 	})
 	t.Run("refused", func(t *testing.T) {
-		ln := listen(t)
+		ln := listenLoopback(t)
 		ln.Close()
-		if got, _ := attemptOn(pool(ln.Addr().String(), 4), long); got != forkline.ConnectFailed {
+		if got, _ := doAttempt(newTestUpstream(ln.Addr().String(), 4), testTimeout); got != forkline.ConnectFailed {
 			t.Errorf("outcome %v, want a failed connect", got)
 		}
 	})
@@ -152,7 +152,7 @@
 // by itself.
 func TestNoRetryOnBrokenConnection(t *testing.T) {
 	requests := make(chan int, 10)
-	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
+	ln := startServer(t, func(n int, c net.Conn, _ *http.Request) bool {
 		requests <- n
 		if len(requests) == 2 {
 			return false // the connection that served the first request breaks during the second
@@ -160,11 +160,11 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	u := pool(ln.Addr().String(), 4)
-	if got, _ := attemptOn(u, long); got != forkline.OK {
+	u := newTestUpstream(ln.Addr().String(), 4)
+	if got, _ := doAttempt(u, testTimeout); got != forkline.OK {
 		t.Fatalf("outcome %v of the first request, want OK", got)
 	}
-	if got, _ := attemptOn(u, long); got != forkline.Reset {
+	if got, _ := doAttempt(u, testTimeout); got != forkline.Reset {
 		t.Errorf("outcome %v of the second request, want a reset", got)
 	}
 	if a, b := <-requests, <-requests; a != 0 || b != 0 || len(requests) != 0 {
@@ -176,7 +176,7 @@
 // count as a reset.
 func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
 	closeNow, closed := make(chan struct{}), make(chan struct{})
-	ln := script(t, func(n int, c net.Conn, _ *http.Request) bool {
+	ln := startServer(t, func(n int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		if n == 0 {
 			<-closeNow
@@ -185,8 +185,8 @@
 		}
 		return n > 0
 	})
-	u := pool(ln.Addr().String(), 4)
-	attemptOn(u, long)
+	u := newTestUpstream(ln.Addr().String(), 4)
+	doAttempt(u, testTimeout)
 	close(closeNow)
 	<-closed
 	idle := u.find(1).idle
@@ -196,7 +196,7 @@
 	for stillOpen(idle[0].Conn) { // until the close has arrived over the loopback
 		time.Sleep(time.Millisecond)
 	}
-	if got, _ := attemptOn(u, long); got != forkline.OK {
+	if got, _ := doAttempt(u, testTimeout); got != forkline.OK {
 		t.Errorf("outcome %v, want the request served on a new connection", got)
 	}
 	if u.openConns != 1 {
@@ -208,23 +208,23 @@
 // Once such a drop has been observed, these requests must use new connections, while others may try the idle ones.
 func TestAtMostOnceRequestsAvoidIdleConnections(t *testing.T) {
 	requests := make(chan int, 10)
-	ln := script(t, func(n int, c net.Conn, req *http.Request) bool {
+	ln := startServer(t, func(n int, c net.Conn, req *http.Request) bool {
 		if requests <- n; req.Header.Get("X-Request-Id") == "drop" {
 			return false
 		}
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	u := pool(ln.Addr().String(), 4)
+	u := newTestUpstream(ln.Addr().String(), 4)
 	sentOn := func(id string, atMostOnce bool, idleFor time.Duration) int {
 		t.Helper()
 		if e := u.find(1); len(e.idle) > 0 {
 			e.idle[len(e.idle)-1].idleSince = time.Now().Add(-idleFor)
 		}
-		outgoing := get()
+		outgoing := newGetRequest()
 		outgoing.header.Set("X-Request-Id", id)
 		outgoing.atMostOnce = atMostOnce
-		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(long)); (got == forkline.OK) == (id == "drop") {
+		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(testTimeout)); (got == forkline.OK) == (id == "drop") {
 			t.Fatalf("outcome %v", got)
 		}
 		return <-requests
@@ -251,7 +251,7 @@
 // that nothing ran.
 func TestBreakBeforeTheLastByte(t *testing.T) {
 	served := make(chan string, 10)
-	ln := listen(t)
+	ln := listenLoopback(t)
 	go func() {
 		for n := 0; ; n++ {
 			c, err := ln.Accept()
@@ -279,16 +279,16 @@
 			c.Close()
 		}
 	}()
-	u := pool(ln.Addr().String(), 4)
-	u.breakCheckTime = long
+	u := newTestUpstream(ln.Addr().String(), 4)
+	u.breakCheckTime = testTimeout
 	for i, want := range []forkline.Outcome{forkline.OK, forkline.OK, forkline.ConnectFailed} {
-		outgoing := get()
+		outgoing := newGetRequest()
 		outgoing.header.Set("X-Request-Id", fmt.Sprint("-", i))
 		outgoing.atMostOnce = true
 		if i == 2 {
 			u.closeServerIdle(1)
 		}
-		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(2*long)); got != want {
+		if got, _ := u.do(newAttempt(time.Time{}), u.find(1), outgoing, time.Now().Add(2*testTimeout)); got != want {
 			t.Errorf("request %d: outcome %v, want %v", i, got, want)
 		}
 	}
@@ -299,7 +299,7 @@
 
 // trustedIdle must follow the observed breaks, except for those that idle time cannot have caused.
 func TestTrustedIdleTime(t *testing.T) {
-	u := pool("127.0.0.1:1", 4)
+	u := newTestUpstream("127.0.0.1:1", 4)
 	u.recordReuse(0, true)
 	u.recordReuse(minTrustedIdle, true)
 	if u.trustedIdle != u.idleTimeout {
@@ -328,15 +328,15 @@
 // An aborted attempt must not write anything, because its request already has a final response.
 func TestAbortBeforeWriting(t *testing.T) {
 	requests := make(chan struct{}, 1)
-	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
-	u := pool(ln.Addr().String(), 4)
-	c, err := u.connect(newAttempt(time.Time{}), u.find(1), time.Now().Add(long), false)
+	ln := startServer(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
+	u := newTestUpstream(ln.Addr().String(), 4)
+	c, err := u.connect(newAttempt(time.Time{}), u.find(1), time.Now().Add(testTimeout), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	a := newAttempt(time.Time{})
 	a.abort()
-	if got, _, _ := exchange(a, c, get(), time.Now().Add(long), 0); got != forkline.Cancelled {
+	if got, _, _ := exchange(a, c, newGetRequest(), time.Now().Add(testTimeout), 0); got != forkline.Cancelled {
 		t.Errorf("outcome %v", got)
 	}
 	c.Close()
@@ -348,21 +348,21 @@
 // Aborting an attempt must close its connection, as this notifies the endpoint.
 func TestAbortWhileWaiting(t *testing.T) {
 	received, closed := make(chan struct{}), make(chan error, 1)
-	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	ln := startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		close(received)
 		_, err := c.Read(make([]byte, 1))
 		closed <- err
 		return false
 	})
-	u := pool(ln.Addr().String(), 4)
+	u := newTestUpstream(ln.Addr().String(), 4)
 	a := newAttempt(time.Time{})
 	go func() { <-received; a.abort() }()
-	if got, _ := u.do(a, u.find(1), get(), time.Now().Add(long)); got != forkline.Cancelled {
+	if got, _ := u.do(a, u.find(1), newGetRequest(), time.Now().Add(testTimeout)); got != forkline.Cancelled {
 		t.Errorf("outcome %v", got)
 	}
 	select {
 	case <-closed:
-	case <-time.After(long):
+	case <-time.After(testTimeout):
 		t.Error("the connection was not closed")
 	}
 }
@@ -371,10 +371,10 @@
 // last longer than the drain grace. A late attempt must not be written, and counts as not run.
 func TestLateAttemptIsNotWritten(t *testing.T) {
 	requests := make(chan struct{}, 1)
-	ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
-	u := pool(ln.Addr().String(), 4)
+	ln := startServer(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
+	u := newTestUpstream(ln.Addr().String(), 4)
 	a := newAttempt(time.Now().Add(-time.Millisecond))
-	if got, _ := u.do(a, u.find(1), get(), time.Now().Add(long)); got != forkline.ConnectFailed {
+	if got, _ := u.do(a, u.find(1), newGetRequest(), time.Now().Add(testTimeout)); got != forkline.ConnectFailed {
 		t.Errorf("outcome %v", got)
 	}
 	if len(u.find(1).idle) != 1 {
@@ -390,16 +390,16 @@
 func TestLateRetryIsNotWritten(t *testing.T) {
 	for _, grace := range []float64{0, 1e6} {
 		requests := make(chan struct{}, 1)
-		ln := script(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
-		cfg := config(t)
-		u := pool(ln.Addr().String(), 4)
+		ln := startServer(t, func(int, net.Conn, *http.Request) bool { requests <- struct{}{}; return false })
+		cfg := testConfig(t)
+		u := newTestUpstream(ln.Addr().String(), 4)
 		u.firstByteTimeout = msToDuration(grace)
 		l, err := newLoop(&cfg, u)
 		if err != nil {
 			t.Fatal(err)
 		}
 		now := l.now()
-		c := &call{outgoing: *get()}
+		c := &call{outgoing: *newGetRequest()}
 		l.send(c, &forkline.Action{Kind: forkline.ActSend, Server: 1, Deadline: now + 1e6, LastByteBy: now - 1})
 		for c.openAttempts > 0 { // reports on the connection come before the outcome
 			(<-l.queue)()
@@ -422,22 +422,22 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	}
-	first, second := script(t, serve), script(t, serve)
-	u := pool(first.Addr().String(), 1)
+	first, second := startServer(t, serve), startServer(t, serve)
+	u := newTestUpstream(first.Addr().String(), 1)
 	u.updateServer(2, second.Addr().String(), 0, forkline.Ready)
-	attemptOn(u, long)
+	doAttempt(u, testTimeout)
 	if len(u.find(1).idle) != 1 {
 		t.Fatal("the first attempt left no idle connection")
 	}
 	done := make(chan forkline.Outcome)
 	go func() {
-		outgoing := get()
+		outgoing := newGetRequest()
 		outgoing.header.Set("X-Request-Id", "hold")
-		got, _ := u.do(newAttempt(time.Time{}), u.find(2), outgoing, time.Now().Add(long))
+		got, _ := u.do(newAttempt(time.Time{}), u.find(2), outgoing, time.Now().Add(testTimeout))
 		done <- got
 	}()
 	<-received
-	if got, _ := attemptOn(u, long); got != forkline.ConnectFailed {
+	if got, _ := doAttempt(u, testTimeout); got != forkline.ConnectFailed {
 		t.Errorf("outcome %v at the connection limit, want a failed connect", got)
 	}
 	close(release)
@@ -480,25 +480,25 @@
 		waited       time.Duration // time until then, from the last use of the second
 		open         int           // connections open at the end
 	}{
-		"the one idle longer":     {nil, reuseDelay, long, false, 1, reuseDelay - time.Millisecond, 2},
-		"at most once":            {nil, reuseDelay, long, true, 1, reuseDelay - time.Millisecond, 2},
+		"the one idle longer":     {nil, reuseDelay, testTimeout, false, 1, reuseDelay - time.Millisecond, 2},
+		"at most once":            {nil, reuseDelay, testTimeout, true, 1, reuseDelay - time.Millisecond, 2},
 		"not beyond the deadline": {nil, reuseDelay, reuseDelay - 2*time.Millisecond, false, 0, 0, 2},
 		"one delay has passed": {func(*upstream, *conn, *conn, net.Conn, func()) {
 			time.Sleep(reuseDelay - time.Millisecond)
-		}, reuseDelay, long, false, 1, reuseDelay - time.Millisecond, 2},
+		}, reuseDelay, testTimeout, false, 1, reuseDelay - time.Millisecond, 2},
 		"both delays have passed": {func(*upstream, *conn, *conn, net.Conn, func()) {
 			time.Sleep(reuseDelay)
-		}, reuseDelay, long, false, 2, reuseDelay, 2},
+		}, reuseDelay, testTimeout, false, 2, reuseDelay, 2},
 		"the other is not trusted": {func(u *upstream, first, _ *conn, _ net.Conn, _ func()) {
 			u.trustedIdle, first.idleSince = minTrustedIdle, first.idleSince.Add(-time.Second)
-		}, reuseDelay, long, true, 2, reuseDelay, 2},
+		}, reuseDelay, testTimeout, true, 2, reuseDelay, 2},
 		"the other is too old": {func(u *upstream, first, _ *conn, _ net.Conn, _ func()) {
 			first.idleSince = first.idleSince.Add(-time.Hour)
-		}, reuseDelay, long, false, 2, reuseDelay, 1},
-		"not for longer than a request takes": {nil, reuseDelay - 2*time.Millisecond, long, false, 0, 0, 2},
+		}, reuseDelay, testTimeout, false, 2, reuseDelay, 1},
+		"not for longer than a request takes": {nil, reuseDelay - 2*time.Millisecond, testTimeout, false, 0, 0, 2},
 		"not for longer than is trusted": {func(u *upstream, _, _ *conn, _ net.Conn, _ func()) {
 			u.trustedIdle = reuseDelay - 1
-		}, reuseDelay, long, true, 0, 0, 2},
+		}, reuseDelay, testTimeout, true, 0, 0, 2},
 		"a duplicate response meanwhile": {func(_ *upstream, first, _ *conn, remote net.Conn, _ func()) {
 			time.AfterFunc(reuseDelay/2, func() {
 				io.WriteString(remote, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
@@ -506,15 +506,15 @@
 					runtime.Gosched()
 				}
 			})
-		}, reuseDelay, long, false, 2, reuseDelay, 1},
+		}, reuseDelay, testTimeout, false, 2, reuseDelay, 1},
 		"aborted meanwhile": {func(_ *upstream, _, _ *conn, _ net.Conn, cancel func()) {
 			time.AfterFunc(reuseDelay/2, cancel)
-		}, reuseDelay, long, false, 0, reuseDelay / 2, 1},
+		}, reuseDelay, testTimeout, false, 0, reuseDelay / 2, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			ln := listen(t)
+			ln := listenLoopback(t)
 			synctest.Test(t, func(t *testing.T) {
-				u := pool("127.0.0.1:1", 4) // nothing listens there
+				u := newTestUpstream("127.0.0.1:1", 4) // nothing listens there
 				u.reuseDelay = reuseDelay
 				first, remote := idleConn(t, u, ln, c.lastDuration)
 				time.Sleep(time.Millisecond)
@@ -539,7 +539,7 @@
 
 // The idle connections to a server must be closed when it drains, leaves, moves or restarts.
 func TestServerChangeClosesIdleConnections(t *testing.T) {
-	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	ln := startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
@@ -551,8 +551,8 @@
 		"moved":     func(u *upstream) { u.updateServer(1, "127.0.0.1:1", 0, forkline.Ready) },
 		"closed":    func(u *upstream) { u.closeServerIdle(1) },
 	} {
-		u := pool(addr, 4)
-		attemptOn(u, long)
+		u := newTestUpstream(addr, 4)
+		doAttempt(u, testTimeout)
 		if u.openConns != 1 {
 			t.Fatalf("%s: %d connections after the first attempt, want 1", name, u.openConns)
 		}
@@ -564,14 +564,14 @@
 
 // An idle connection must be closed well before the endpoint's idle timeout, even if no further request is sent.
 func TestIdleConnectionsTimeOut(t *testing.T) {
-	ln := script(t, func(_ int, c net.Conn, _ *http.Request) bool {
+	ln := startServer(t, func(_ int, c net.Conn, _ *http.Request) bool {
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return true
 	})
-	u := pool(ln.Addr().String(), 4)
+	u := newTestUpstream(ln.Addr().String(), 4)
 	u.idleTimeout = 20 * time.Millisecond
-	attemptOn(u, long)
-	for end := time.Now().Add(long); ; time.Sleep(time.Millisecond) {
+	doAttempt(u, testTimeout)
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		u.mu.Lock()
 		open := u.openConns
 		u.mu.Unlock()
@@ -587,7 +587,7 @@
 // A request must be forwarded unchanged, except for the remaining time in X-Deadline.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	received := make(chan string, 1)
-	ln := script(t, func(_ int, c net.Conn, r *http.Request) bool {
+	ln := startServer(t, func(_ int, c net.Conn, r *http.Request) bool {
 		received <- fmt.Sprint(r.Method, " ", r.RequestURI, " ", r.Host, " ", r.Header["X-Request-Id"], r.Header["User-Agent"])
 		remaining := r.Header.Get("X-Deadline")
 		if !(remaining > "9.0" && remaining < "9.9999") {
@@ -596,7 +596,7 @@
 		io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		return false
 	})
-	attemptOn(pool(ln.Addr().String(), 4), long-10*time.Millisecond)
+	doAttempt(newTestUpstream(ln.Addr().String(), 4), testTimeout-10*time.Millisecond)
 	if got, want := <-received, "GET /browse/x?q=%20 backend.local [1] []"; got != want {
 		t.Errorf("forwarded request %q, want %q", got, want)
 	}
