--- a/internal/sidecar/disconnect_test.go
+++ b/internal/sidecar/disconnect_test.go
@@ -16,9 +16,10 @@
 )
 
 // Tests of clients that disconnect while the loop is busy, as on an overloaded core or with its queue full. The loop
-// then handles the events that were queued before the disconnect without knowing of it. No attempt may start even so.
+// then handles the events that were queued before the disconnect without knowing of it. Even so, no endpoint
+// may receive the complete request after the disconnect.
 
-// occupyLoop blocks the loop from when it has run what is in its queue until release is called.
+// occupyLoop blocks the loop until release is called. The loop first runs what is already in its queue.
 func occupyLoop(s *Sidecar) *occupiedLoop {
 	o := &occupiedLoop{s, make(chan func()), make(chan struct{})}
 	s.loop.post(func() {
@@ -60,7 +61,7 @@
 }
 
 // startTracked runs a sidecar whose ends of the client connections are available to the test. It returns the sidecar
-// and a function that connects a client, whose requests have the given id.
+// and a function that connects a client, whose requests have the given ID.
 func startTracked(t *testing.T, cfg Config, configure func(*Sidecar)) (*Sidecar, func(id string) trackedClient) {
 	t.Helper()
 	s, err := New(cfg)
@@ -135,7 +136,7 @@
 	}
 }
 
-// recordingServer starts an endpoint that serves every request. It returns its address and the ids of the requests.
+// recordingServer starts an endpoint that serves every request. It returns its address and the IDs of the requests.
 func recordingServer(t *testing.T) (string, chan string) {
 	received := make(chan string, 100)
 	return startServer(t, func(n int, c net.Conn, r *http.Request) bool {
@@ -164,7 +165,7 @@
 	}
 }
 
-// The client disconnects while its request is queued. Bytes that it had sent behind the request may hide that.
+// The client disconnects while its request is queued. Bytes that it sent behind the request may hide the disconnect.
 func TestDisconnectWhileQueued(t *testing.T) {
 	for mode, how := range disconnectModes {
 		for pipelined, n := range map[string]int{"nothing": 0, "a little": 9, "more than is read": 9000} {
@@ -456,8 +457,8 @@
 	}
 }
 
-// A request must be able to reuse the id of a request whose client has disconnected, and to replace a retry that waits
-// under that id and whose client has disconnected too, even before the loop is notified of either disconnect.
+// A request must be able to reuse the ID of a request whose client has disconnected, and to replace a retry that waits
+// under that ID and whose client has disconnected too, even before the loop is notified of either disconnect.
 func TestIDOfDisconnectedRequestIsReusable(t *testing.T) {
 	cfg := longTimeoutConfig(t, "127.0.0.1:1")
 	cfg.InitialList.Targets[0].State = "Terminating"
@@ -523,7 +524,7 @@
 	}
 }
 
-// Bad clients must get an error or a close within 3 s of connecting, whatever they send or leave out.
+// A client that sends an invalid or incomplete request must get an error or a close within 3 s of connecting.
 func TestBadClientsAreClosedInTime(t *testing.T) {
 	const limit, schedulingDelay = 3 * time.Second, 250 * time.Millisecond
 	if longest := defaultRequestTimeout + lingerTimeout + schedulingDelay; longest > limit {
--- a/internal/sidecar/discovery_test.go
+++ b/internal/sidecar/discovery_test.go
@@ -17,8 +17,8 @@
 	"forkline/internal/listwatch"
 )
 
-// A sidecar must receive a change within notifyLimit of when discovery has it and can be reached, and after a change of
-// the discovery address by SIGHUP within notifyLimitAfterMove.
+// A sidecar must receive a change within notifyLimit of the time when discovery has it and can be reached. After a SIGHUP
+// that changes the discovery address, the limit is notifyLimitAfterMove.
 const notifyLimit, notifyLimitAfterMove = 6 * time.Second, 4 * time.Second
 
 // longTimeoutPolicy returns a policy for tests in real time. All its timeouts are long enough for a busy machine, except
--- a/internal/sidecar/names_test.go
+++ b/internal/sidecar/names_test.go
@@ -38,8 +38,8 @@
 }
 
 // checkTraffic sends a request of each class for each tenant through a sidecar with the given names. Every request must be
-// served, also for a tenant that the settings do not contain and by servers of such zones and kinds. A class that they do
-// not contain must get 404.
+// served, including those for a tenant that is not in the settings and those sent to servers whose zone or kind is not. A
+// request of a class that is not in the settings must get 404.
 func checkTraffic(t *testing.T, n deploymentNames) {
 	effects, methods := []string{"read_like", "non_idempotent", "idempotency_key"}, []string{"GET", "POST", "POST"}
 	var classes, tenants []map[string]any
--- a/internal/sidecar/race_test.go
+++ b/internal/sidecar/race_test.go
@@ -334,7 +334,7 @@
 	}}
 }
 
-// A second request with the id of an open one is rejected just as its client disconnects. That must not release the id:
+// A second request with the ID of an open one is rejected just as its client disconnects. That must not release the ID:
 // a third request with it would be sent while the first is open.
 func TestDisconnectOfRejectedDuplicateKeepsID(t *testing.T) {
 	cfg := longTimeoutConfig(t, "127.0.0.1:1")
@@ -357,7 +357,7 @@
 	}
 }
 
-// abortAll runs while a client's retry waits for the end of the original request, whose client has disconnected: the
+// abortAll runs while a client's retry waits for the end of the original request, whose client has disconnected. The
 // retry must be answered too, as failed, because the original may have run.
 func TestAbortAllAnswersWaitingRetry(t *testing.T) {
 	s := startWithoutDrain(t, echo, nil)
@@ -377,9 +377,9 @@
 	}
 }
 
-// A client disconnects and retries with the same id on another connection while the attempt for the original request is
+// A client disconnects and retries with the same ID on another connection while the attempt for the original request is
 // being canceled. The retry is served if the request is safe or cannot have run, and fails otherwise, as the request
-// must not run twice. It is not rejected as a duplicate id.
+// must not run twice. It is not rejected as a duplicate ID.
 func TestClientRetryWhileAttemptIsCanceled(t *testing.T) {
 	for _, c := range []struct {
 		method, class         string
@@ -456,7 +456,7 @@
 	})
 }
 
-// A connection that waits to be admitted when the drain begins must not delay the drain: it ends at its deadline.
+// The drain must end at its deadline even if a connection still waits to be admitted.
 func TestDrainDoesNotWaitForUnadmittedConnection(t *testing.T) {
 	accepted := make(chan struct{}, 2*evictionHeadroom+1)
 	s := startWithoutDrain(t, echo, func(s *Sidecar) {
@@ -479,8 +479,8 @@
 	}
 }
 
-// A request that is partly received when the drain closes idle connections may be complete at any time and is accepted
-// then: the drain must wait for it and answer it.
+// A request is partly received when the drain closes idle connections. It is accepted once it is complete, so the drain
+// must wait for it and answer it.
 func TestDrainWaitsForPartialRequest(t *testing.T) {
 	s := startWithoutDrain(t, echo, nil)
 	c := dial(t, s)
@@ -789,7 +789,7 @@
 	}
 }
 
-// Lists may be indented, share a line and contain braces in strings.
+// A watch must accept lists that are indented, that share a line or that contain braces in strings.
 func TestWatchAcceptsAnyJSONLayout(t *testing.T) {
 	lists := make(chan List, 10)
 	d := &discovery{policy: longTimeoutPolicy(testTimeout), onList: func(l List) { lists <- l }, onFailed: func() {}}
@@ -811,8 +811,8 @@
 	}
 }
 
-// A watch that is answered but then delivers no object must time out after the same silence as a later one: before the
-// first object, within it, and also while its bytes trickle in.
+// A watch that is answered but never delivers a complete object must end at the same silence timeout as one that has
+// delivered some: before the first object, within it, and also while its bytes trickle in.
 func TestWatchSilentFromTheStart(t *testing.T) {
 	for name, respond := range map[string]func(net.Conn){
 		"before the first object": func(net.Conn) {},
--- a/internal/sidecar/recent_ids_test.go
+++ b/internal/sidecar/recent_ids_test.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// The recent ids must be bounded in time and in number.
+// The recent IDs must be bounded in time and in number.
 func TestRecentIDsAreBounded(t *testing.T) {
 	r := newRecentIDs()
 	for i := range 3 * maxRecentIDs {
@@ -93,7 +93,7 @@
 	}
 }
 
-// While the recent ids are full, requests whose ids would have to be kept must be refused. Safe requests are accepted.
+// While the recent IDs are full, requests whose IDs would have to be kept must be refused. Safe requests are accepted.
 func TestRequestsWhileRecentIDsAreFull(t *testing.T) {
 	withoutSockets(t, func(t *testing.T, f *front) {
 		accept := func(class uint16, safe bool) int { // returns the status of an immediate response; 0 = accepted
--- a/internal/sidecar/reload_test.go
+++ b/internal/sidecar/reload_test.go
@@ -35,10 +35,10 @@
 	return cfg
 }
 
-// gatedServer is an endpoint that holds each request whose id begins with "held" until the test releases it.
+// gatedServer is an endpoint that holds each request whose ID begins with "held" until the test releases it.
 type gatedServer struct {
 	addr     string
-	received chan string // the ids of all requests, as they arrive
+	received chan string // the IDs of all requests, as they arrive
 	release  chan bool   // releases one held request: true answers it, false closes its connection
 }
 
--- a/internal/sidecar/sidecar_test.go
+++ b/internal/sidecar/sidecar_test.go
@@ -330,8 +330,8 @@
 	}
 }
 
-// After SIGTERM new connections must still be served, and existing ones as long as there is time. Then connections must be
-// closed, the calls in flight answered, and only then may the program end.
+// After SIGTERM, requests on new and existing connections must still be served as long as time allows. Then connections must
+// be closed and the calls in flight answered before the program ends.
 func TestDrain(t *testing.T) {
 	received, release := make(chan struct{}), make(chan struct{})
 	cfg := testConfig(t, startServer(t, func(n int, c net.Conn, r *http.Request) bool {
@@ -414,7 +414,7 @@
 	}
 }
 
-// Clients with idle connections must not keep others out.
+// At the connection limit, idle connections must be evicted so that new clients are served.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	cfg := testConfig(t, startServer(t, echo).Addr().String())
 	cfg.Sockets = MinSockets
@@ -471,7 +471,8 @@
 	}).Addr().String()
 }
 
-// A watch adds an endpoint. A drain that it reports must reach the module before anything else is sent.
+// An endpoint that a watch adds must be used. Once the watch reports that the endpoint drains, it must get no more
+// requests, and once it is gone, it must be forgotten.
 func TestWatch(t *testing.T) {
 	next, done := make(chan string), make(chan struct{})
 	defer close(done)
@@ -566,8 +567,8 @@
 	}
 }
 
-// When one of four endpoints fails and is ejected, its part of the concurrency limit must not pass to the others. If
-// several copies did so, they would overload the others, which then stay slow for long.
+// When one of four endpoints fails and is ejected, its share of the concurrency limit must not be moved to the others. If
+// several copies moved it, they would overload the other endpoints, which then stay slow for a long time.
 func TestEjectedEndpointReducesTheLimit(t *testing.T) {
 	const total, beforeEjection, limit = 30, 12, 15
 	var held, failed atomic.Int32
--- a/internal/sidecar/upstream_test.go
+++ b/internal/sidecar/upstream_test.go
@@ -466,8 +466,8 @@
 
 // An attempt must wait for the reuse delay of a connection that was just used instead of dialing a new one. A new
 // connection costs its endpoint work and stays open, so sequential calls would use two connections where one suffices. But
-// an attempt must not wait longer than requests take, because the module would take the wait for a silent endpoint and
-// cancel the attempt. The test runs in virtual time.
+// an attempt must not wait longer than requests take, because the module would mistake the wait for that of a silent
+// endpoint and cancel the attempt. The test runs in virtual time.
 func TestReuseDelayIsAwaited(t *testing.T) {
 	const reuseDelay = 10 * time.Millisecond
 	for name, c := range map[string]struct {
