--- a/balancer_test.go
+++ b/balancer_test.go
@@ -1619,3 +1619,48 @@
 		}
 	}
 }
+
+// If a server answers within a millisecond, a delay of a few milliseconds makes it look unresponsive. Three attempts that
+// are cancelled for that eject it. If it is the only server, a new request must not wait longer than its target latency
+// for the next trial, because nothing else can serve it.
+func TestOnlyServerIsTriedSoonAfterEjection(t *testing.T) {
+	settings := testSettings()
+	settings.Limits.CancelAttempts = true
+	h := newHarness(t, settings, readyServers(1)...)
+	s := h.b.live[0]
+	for id := uint32(1); id <= 5; id++ {
+		if sent := h.request(id, 0); len(sent) != 1 || sent[0].Kind != ActSend {
+			t.Fatalf("request %d: %+v, want a send", id, sent)
+		}
+		h.now += 0.5
+		h.handle(Event{Kind: EvOutcome, Request: id, Server: s.Server, Outcome: OK, Elapsed: 0.5})
+		h.now += 20
+	}
+	h.request(6, 0)
+	h.request(7, 0)
+	attempts := map[uint32]uint16{}
+	for cancelled := 0; !s.ejected; cancelled++ {
+		if cancelled == 3 {
+			t.Fatal("the server is not ejected after three cancelled attempts")
+		}
+		h.now += 5
+		for _, a := range h.handle(Event{Kind: EvTimer, Token: h.b.timerToken}) {
+			if a.Kind == ActCancel {
+				h.handle(Event{Kind: EvOutcome, Request: a.Request, Server: s.Server, Attempt: a.Attempt, Outcome: Cancelled, Elapsed: 5})
+				attempts[a.Request]++
+			}
+		}
+	}
+	for id := range attempts { // their clients disconnect
+		h.handle(Event{Kind: EvClientGone, Request: id})
+	}
+	arrivedAt := h.now
+	actions := h.request(8, 0)
+	for len(actions) == 0 && h.now < arrivedAt+1000 {
+		h.now += 20
+		actions = h.handle(Event{Kind: EvTimer, Token: h.b.timerToken})
+	}
+	if len(actions) != 1 || actions[0].Kind != ActSend || h.now-arrivedAt > settings.Classes[0].TargetLatency {
+		t.Errorf("%+v after %v ms, want a send within the target latency, %v ms", actions, h.now-arrivedAt, settings.Classes[0].TargetLatency)
+	}
+}
