--- a/internal/sidecar/race_test.go
+++ b/internal/sidecar/race_test.go
@@ -567,6 +567,13 @@
 	s, _ := startWithRecordingServer(t, func(s *Sidecar) {
 		s.front.downstream.maxConns, s.front.downstream.slowRequestTime, s.front.requestTimeout = 2*evictionHeadroom, time.Hour, time.Hour
 		withConnWrapper(func(c *net.TCPConn) net.Conn { accepted <- struct{}{}; return c })(s)
+		// The server answers within a millisecond, so on a busy machine its attempts may be cancelled and it may be ejected
+		// (TestOnlyServerIsTriedSoonAfterEjection).
+		withoutCancellation := s.loop.moduleSettings(s.cfg.Site.Settings)
+		withoutCancellation.Limits.CancelAttempts = false
+		if _, err := s.loop.balancer.Reconfigure(s.loop.now(), withoutCancellation, nil); err != nil {
+			t.Fatal(err)
+		}
 	})
 	clients := make([]*client, 2*evictionHeadroom)
 	for i := range clients {
