--- a/balancer_test.go
+++ b/balancer_test.go
@@ -1636,23 +1636,27 @@
 		h.handle(Event{Kind: EvOutcome, Request: id, Server: s.Server, Outcome: OK, Elapsed: 0.5})
 		h.now += 20
 	}
-	h.request(6, 0)
-	h.request(7, 0)
-	attempts := map[uint32]uint16{}
-	for cancelled := 0; !s.ejected; cancelled++ {
-		if cancelled == 3 {
-			t.Fatal("the server is not ejected after three cancelled attempts")
-		}
-		h.now += 5
-		for _, a := range h.handle(Event{Kind: EvTimer, Token: h.b.timerToken}) {
+	confirmCancellations := func(actions []Action) {
+		for _, a := range actions {
 			if a.Kind == ActCancel {
 				h.handle(Event{Kind: EvOutcome, Request: a.Request, Server: s.Server, Attempt: a.Attempt, Outcome: Cancelled, Elapsed: 5})
-				attempts[a.Request]++
 			}
 		}
 	}
-	for id := range attempts { // their clients disconnect
-		h.handle(Event{Kind: EvClientGone, Request: id})
+	h.request(6, 0)
+	h.request(7, 0)
+	for timers := 0; !s.ejected; timers++ {
+		if timers == 3 {
+			t.Fatal("the server is not ejected after three attempt timeouts")
+		}
+		h.now += 5
+		confirmCancellations(h.handle(Event{Kind: EvTimer, Token: h.b.timerToken}))
+	}
+	for id := uint32(6); id <= 7; id++ {
+		confirmCancellations(h.handle(Event{Kind: EvClientGone, Request: id}))
+	}
+	if s.inFlight > 0 {
+		t.Fatalf("%d attempts in flight after both clients left, want none", s.inFlight)
 	}
 	arrivedAt := h.now
 	actions := h.request(8, 0)
